--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -20,7 +20,7 @@
 	"slatewind.example/slatewind/backend"
 )
 
-var dialect = slatewind.ServerDialect{RequestID: "Request-Id", Deadline: "Deadline-Ms", Stamp: "Server-Stamp"}
+var dialect = slatewind.ServerHeaders{RequestID: "Request-Id", Deadline: "Deadline-Ms", Stamp: "Server-Stamp"}
 
 // script is what a server does with the requests of one connection, in order.
 // What it writes may hold {id}, the id of the request.
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -26,7 +26,7 @@
 // Pool keeps connections to one server.
 type Pool struct {
 	address string
-	dialect slatewind.ServerDialect
+	dialect slatewind.ServerHeaders
 
 	mu   sync.Mutex
 	idle []*conn
@@ -35,7 +35,7 @@
 }
 
 // NewPool returns a pool for the server at an IP:port address.
-func NewPool(address string, dialect slatewind.ServerDialect) *Pool {
+func NewPool(address string, dialect slatewind.ServerHeaders) *Pool {
 	return &Pool{address: address, dialect: dialect}
 }
 
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -146,7 +146,7 @@
 func callDepth(id string, requests []string) int {
 	depth := 0
 	for _, request := range requests {
-		if slatewind.CallOf(id, request) {
+		if slatewind.IsNestedCallID(id, request) {
 			depth++
 		}
 	}
--- a/config/store.go
+++ b/config/store.go
@@ -114,7 +114,7 @@
 		return
 	}
 	reason := fmt.Sprintf("revision %d is older than revision %d in force", offered.Revision, current.Revision)
-	s.add(now, slatewind.DecisionStale, reason, "source="+source)
+	s.add(now, slatewind.DecisionSettingsIgnored, reason, "source="+source)
 }
 
 // noteRefused notes that an offer has findings. The lock is held.
@@ -124,7 +124,7 @@
 	}
 	s.refused = &version
 	reason := fmt.Sprintf("revision %d has findings, the file in force stays", version.Revision)
-	s.add(now, slatewind.DecisionStale, reason, "source="+source+" findings="+err.Error())
+	s.add(now, slatewind.DecisionSettingsIgnored, reason, "source="+source+" findings="+err.Error())
 }
 
 func (s *Store) add(now time.Time, kind slatewind.DecisionKind, reason, evidence string) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -94,7 +94,7 @@
 // frequent decisions are one to a request; they are logged only on demand.
 var frequent = map[slatewind.DecisionKind]bool{
 	slatewind.DecisionRefuse: true, slatewind.DecisionRetry: true, slatewind.DecisionHedge: true,
-	slatewind.DecisionHandOver: true, slatewind.DecisionUnknown: true, slatewind.DecisionDrop: true,
+	slatewind.DecisionHandOver: true, slatewind.DecisionUnknown: true, slatewind.DecisionDropReply: true,
 }
 
 func newJournal(process *slatewindv1.Process, logger *log.Logger, m *metrics.Metrics) *history.Journal {
--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -18,7 +18,7 @@
 func entriesIgnored(n *Node) []slatewind.Decision {
 	var list []slatewind.Decision
 	for _, d := range n.history.Find(history.Filter{}) {
-		if d.Kind == slatewind.DecisionEntry {
+		if d.Kind == slatewind.DecisionEntryIgnored {
 			list = append(list, d)
 		}
 	}
--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -17,7 +17,7 @@
 type nodePeers struct{ node *Node }
 
 // Since implements discovery.Peers.
-func (p nodePeers) Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.Publication, error) {
+func (p nodePeers) Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.ServerUpdate, error) {
 	return p.ask(ctx, address, after, version, p.node.reports.Direct(time.Now()))
 }
 
@@ -31,10 +31,10 @@
 
 // ask asks another node for news and tells it of sick servers, that of the own one
 // included.
-func (p nodePeers) ask(ctx context.Context, address string, after slatewind.Revision, version uint64, told []*slatewindv1.ServerReport) (slatewind.Publication, error) {
+func (p nodePeers) ask(ctx context.Context, address string, after slatewind.Revision, version uint64, told []*slatewindv1.ServerReport) (slatewind.ServerUpdate, error) {
 	peer, err := p.node.peerOf(address)
 	if err != nil {
-		return slatewind.Publication{}, err
+		return slatewind.ServerUpdate{}, err
 	}
 	own := p.node.inbound.Report()
 	news, answer, err := p.node.pool.Since(ctx, peer, after, version, link.Told{Reports: append(told, own), Suspects: p.node.tellsSuspects()})
@@ -67,7 +67,7 @@
 }
 
 // since answers another node that has the given version of the settings.
-func (n *Node) since(after slatewind.Revision, version uint64) slatewind.Publication {
+func (n *Node) since(after slatewind.Revision, version uint64) slatewind.ServerUpdate {
 	n.feed.Heard(version, "")
 	p := n.watcher.Since(after)
 	p.Version = n.feed.Version()
--- a/daemon/nodesink.go
+++ b/daemon/nodesink.go
@@ -77,7 +77,7 @@
 		})
 	default:
 		n.history.Add(slatewind.Decision{
-			Time: now, Kind: slatewind.DecisionStale, Reason: "settings cannot be read; what was in force stays", Evidence: finding.Error(),
+			Time: now, Kind: slatewind.DecisionSettingsIgnored, Reason: "settings cannot be read; what was in force stays", Evidence: finding.Error(),
 		})
 	}
 }
@@ -93,7 +93,7 @@
 		return
 	}
 	n.history.Add(slatewind.Decision{
-		Time: now, Kind: slatewind.DecisionEntry, Server: entry.server, Reason: "an entry names no server: " + entry.reason,
+		Time: now, Kind: slatewind.DecisionEntryIgnored, Server: entry.server, Reason: "an entry names no server: " + entry.reason,
 		Evidence: fmt.Sprintf("%s lines_left_out=%d", entry.place, leftOut),
 	})
 }
--- a/discovery/feed.go
+++ b/discovery/feed.go
@@ -54,7 +54,7 @@
 // only their version. The readers of a data centre wait for them at the store;
 // the others fetch them from whichever process has them.
 type Feed struct {
-	store slatewind.SettingsPublisher
+	store slatewind.SettingsSource
 	peers SettingsPeers
 	share *Share
 	sink  SettingsSink
@@ -76,7 +76,7 @@
 }
 
 // NewFeed returns a feed that has heard nothing yet. The share says who reads.
-func NewFeed(store slatewind.SettingsPublisher, peers SettingsPeers, share *Share, sink SettingsSink) *Feed {
+func NewFeed(store slatewind.SettingsSource, peers SettingsPeers, share *Share, sink SettingsSink) *Feed {
 	return &Feed{store: store, peers: peers, share: share, sink: sink, wake: make(chan struct{}, 1)}
 }
 
@@ -176,8 +176,8 @@
 	f.restart = nil
 	f.revision = f.revision.Later(news.Revision)
 	f.mu.Unlock()
-	if news.Finding != nil {
-		f.sink.Finding(time.Now(), news.Finding)
+	if news.Err != nil {
+		f.sink.Finding(time.Now(), news.Err)
 	}
 	if news.Settings != nil {
 		f.take(news.Settings, "", time.Since(began))
--- a/discovery/feed_test.go
+++ b/discovery/feed_test.go
@@ -41,13 +41,13 @@
 	return revision, nil
 }
 
-func (s *silentStore) Read(ctx context.Context) (slatewind.Publication, error) {
+func (s *silentStore) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	return s.Changes(ctx, slatewind.Revision{})
 }
 
-func (s *silentStore) Changes(ctx context.Context, _ slatewind.Revision) (slatewind.Publication, error) {
+func (s *silentStore) Changes(ctx context.Context, _ slatewind.Revision) (slatewind.ServerUpdate, error) {
 	revision, err := s.answered(ctx, 0)
-	return slatewind.Publication{Revision: at(revision), Servers: servers("own")}, err
+	return slatewind.ServerUpdate{Revision: at(revision), Servers: servers("own")}, err
 }
 
 func (s *silentStore) Ping(ctx context.Context) error {
@@ -55,13 +55,13 @@
 	return err
 }
 
-func (s *silentStore) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsNews, error) {
+func (s *silentStore) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
 	revision, err := s.answered(ctx, wait)
 	if err != nil || revision <= after.Number {
 		sleep(ctx, wait)
-		return slatewind.SettingsNews{}, err
+		return slatewind.SettingsUpdate{}, err
 	}
-	return slatewind.SettingsNews{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: revision, Revision: at(revision)}}, nil
+	return slatewind.SettingsUpdate{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: revision, Revision: at(revision)}}, nil
 }
 
 // storeTimeout is that of package platform's calls.
@@ -98,16 +98,16 @@
 // questions only from where the last answer ended, as a store that forgets does.
 type settingsOf struct {
 	t       *testing.T
-	answers []slatewind.SettingsNews
+	answers []slatewind.SettingsUpdate
 	asOf    uint64
 }
 
-func (s *settingsOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsNews, error) {
+func (s *settingsOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
 	assert.Check(s.t, after.Number == s.asOf, "asked from %s, not from %d on", after, s.asOf)
 	if len(s.answers) == 0 {
 		sleep(ctx, wait)
 		s.asOf += 10
-		return slatewind.SettingsNews{Revision: at(s.asOf)}, ctx.Err()
+		return slatewind.SettingsUpdate{Revision: at(s.asOf)}, ctx.Err()
 	}
 	news := s.answers[0]
 	s.answers = s.answers[1:]
@@ -117,17 +117,17 @@
 
 // TestFeed plays the answers of a store and states what a sink has heard.
 func TestFeed(t *testing.T) {
-	v := func(version, revision uint64) slatewind.SettingsNews {
-		return slatewind.SettingsNews{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: version, Revision: at(revision - 1)}}
+	v := func(version, revision uint64) slatewind.SettingsUpdate {
+		return slatewind.SettingsUpdate{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: version, Revision: at(revision - 1)}}
 	}
-	bad := slatewind.SettingsNews{Revision: at(30), Finding: errors.New("bad value")}
+	bad := slatewind.SettingsUpdate{Revision: at(30), Err: errors.New("bad value")}
 	tests := map[string]struct {
-		answers  []slatewind.SettingsNews
+		answers  []slatewind.SettingsUpdate
 		versions []uint64
 		findings int
 	}{
-		"older settings change nothing": {[]slatewind.SettingsNews{v(7, 20), v(6, 30), v(8, 40)}, []uint64{7, 8}, 0},
-		"what cannot be read is told":   {[]slatewind.SettingsNews{v(7, 20), bad, v(8, 40)}, []uint64{7, 8}, 1},
+		"older settings change nothing": {[]slatewind.SettingsUpdate{v(7, 20), v(6, 30), v(8, 40)}, []uint64{7, 8}, 0},
+		"what cannot be read is told":   {[]slatewind.SettingsUpdate{v(7, 20), bad, v(8, 40)}, []uint64{7, 8}, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -50,7 +50,7 @@
 	pings     int
 	// settingsCalls counts the calls for settings.
 	settingsCalls int
-	published     slatewind.Publication
+	published     slatewind.ServerUpdate
 }
 
 // storeOf is the store as one process reaches it.
@@ -59,11 +59,11 @@
 	self string
 }
 
-func (s storeOf) Read(ctx context.Context) (slatewind.Publication, error) {
+func (s storeOf) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	return s.Changes(ctx, slatewind.Revision{})
 }
 
-func (s storeOf) Changes(ctx context.Context, after slatewind.Revision) (slatewind.Publication, error) {
+func (s storeOf) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	s.f.mu.Lock()
 	s.f.calls[s.self]++
 	cut, p, held := s.f.cut[s.self], s.f.published, s.f.held[s.self]
@@ -74,18 +74,18 @@
 	}
 	s.f.mu.Unlock()
 	if forgets {
-		return slatewind.Publication{}, slatewind.ErrHistoryGone
+		return slatewind.ServerUpdate{}, slatewind.ErrHistoryGone
 	}
 	if cut {
 		sleep(ctx, time.Second)
-		return slatewind.Publication{}, errors.New("cut off")
+		return slatewind.ServerUpdate{}, errors.New("cut off")
 	}
-	p.Whole = true
+	p.Complete = true
 	sleep(ctx, held)
 	return p, incoming.carry(ctx, changedBytes)
 }
 
-func (s storeOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsNews, error) {
+func (s storeOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
 	const look = 10 * time.Millisecond
 	s.f.mu.Lock()
 	s.f.settingsCalls++
@@ -97,12 +97,12 @@
 		switch {
 		case cut:
 			sleep(ctx, time.Second)
-			return slatewind.SettingsNews{}, errors.New("cut off")
+			return slatewind.SettingsUpdate{}, errors.New("cut off")
 		case settings != nil && settings.Revision.After(after):
 			err := incoming.carry(ctx, routeBytes*len(settings.Fleet.GetRoutes()))
-			return slatewind.SettingsNews{Settings: settings, Revision: settings.Revision}, err
+			return slatewind.SettingsUpdate{Settings: settings, Revision: settings.Revision}, err
 		case ctx.Err() != nil || !time.Now().Before(end):
-			return slatewind.SettingsNews{}, ctx.Err()
+			return slatewind.SettingsUpdate{}, ctx.Err()
 		}
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 // Since implements Peers.
-func (f *fleet) Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.Publication, error) {
+func (f *fleet) Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.ServerUpdate, error) {
 	f.mu.Lock()
 	watcher, feed, outgoing := f.watchers[address], f.feeds[address], f.outgoing[address]
 	frozen, busy := f.frozen[address], f.busy
@@ -133,7 +133,7 @@
 	sleep(ctx, busy)
 	if frozen || watcher == nil {
 		<-ctx.Done()
-		return slatewind.Publication{}, ctx.Err()
+		return slatewind.ServerUpdate{}, ctx.Err()
 	}
 	feed.Heard(version, "")
 	p := watcher.Since(after)
@@ -174,7 +174,7 @@
 	f := &fleet{
 		watchers: map[string]*Watcher{}, sinks: map[string]*heardBy{}, shares: map[string]*Share{}, cut: map[string]bool{}, frozen: map[string]bool{},
 		held: map[string]time.Duration{}, feeds: map[string]*Feed{}, handOvers: map[string]int{}, forgets: map[string]bool{}, choices: map[string]int{}, random: rand.New(rand.NewPCG(1, 2)), incoming: map[string]*line{}, outgoing: map[string]*line{},
-		calls: map[string]int{}, exchanged: map[string]int{}, published: slatewind.Publication{Revision: at(1)},
+		calls: map[string]int{}, exchanged: map[string]int{}, published: slatewind.ServerUpdate{Revision: at(1)},
 	}
 	for i := range n {
 		f.published.Servers = append(f.published.Servers, servers(fmt.Sprint("server-", i))...)
@@ -239,7 +239,7 @@
 	return slices.Collect(maps.Keys(f.calls))
 }
 
-func (f *fleet) publish(p slatewind.Publication) {
+func (f *fleet) publish(p slatewind.ServerUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p.Revision = at(f.published.Revision.Number + 1)
--- a/discovery/known.go
+++ b/discovery/known.go
@@ -55,20 +55,20 @@
 
 // take takes a publication. Servers that a whole one lacks are gone. What another process
 // knew at an earlier revision than this one adds nothing. The lock is held.
-func (w *Watcher) take(now time.Time, p slatewind.Publication) {
+func (w *Watcher) take(now time.Time, p slatewind.ServerUpdate) {
 	if p.Relayed && w.revision.After(p.Revision) {
 		return
 	}
 	w.noteRestored(now, p)
 	w.reread = false
 	begins := w.eras.enter(w.revision, p.Revision)
-	for _, finding := range p.Findings {
+	for _, finding := range p.EntryErrors {
 		w.sink.Finding(now, finding)
 	}
-	if p.Whole {
+	if p.Complete {
 		w.removeOthers(now, p)
 	}
-	if p.Whole && !begins {
+	if p.Complete && !begins {
 		// What went before is not known here, so whoever knows less gets everything.
 		w.complete = w.complete.Later(p.Revision)
 	}
@@ -79,7 +79,7 @@
 		w.ended(ended, p.Revision)
 	}
 	w.takeServers(now, p, begins)
-	if p.Whole && !p.Relayed {
+	if p.Complete && !p.Relayed {
 		w.revision = p.Revision
 	}
 	w.revision = w.revision.Later(p.Revision)
@@ -89,13 +89,13 @@
 }
 
 // takeServers takes the entries of a publication, which may begin an era.
-func (w *Watcher) takeServers(now time.Time, p slatewind.Publication, begins bool) {
+func (w *Watcher) takeServers(now time.Time, p slatewind.ServerUpdate, begins bool) {
 	stated := w.mostStateStarts(p)
 	for _, entry := range p.Servers {
 		switch {
 		case stated && entry.Start == 0:
 			w.putUnstated(now, entry, p.Revision)
-		case p.Whole && w.broughtBack(entry, p.Revision):
+		case p.Complete && w.broughtBack(entry, p.Revision):
 			w.overtake(now, entry)
 		case begins && w.unchanged(entry):
 			// Whoever knows what was known here before knows it as well.
@@ -207,7 +207,7 @@
 
 // mostStateStarts reports whether most servers state when they started, by what is known
 // together with a publication.
-func (w *Watcher) mostStateStarts(p slatewind.Publication) bool {
+func (w *Watcher) mostStateStarts(p slatewind.ServerUpdate) bool {
 	if len(p.Servers) == 0 {
 		return false
 	}
@@ -221,7 +221,7 @@
 	for _, entry := range p.Servers {
 		count(entry)
 	}
-	if !p.Whole {
+	if !p.Complete {
 		for _, server := range w.servers {
 			count(server.ServerEntry)
 		}
@@ -258,7 +258,7 @@
 }
 
 // removeOthers handles the servers that a whole publication lacks.
-func (w *Watcher) removeOthers(now time.Time, all slatewind.Publication) {
+func (w *Watcher) removeOthers(now time.Time, all slatewind.ServerUpdate) {
 	listed := listedIn(all)
 	maps.DeleteFunc(w.overtaken, func(name string, _ overtaken) bool { return !listed[name] })
 	for name := range w.servers {
@@ -318,15 +318,15 @@
 
 // Since returns what changed after a revision, for another process. The publication
 // is empty where nothing is known yet.
-func (w *Watcher) Since(after slatewind.Revision) slatewind.Publication {
+func (w *Watcher) Since(after slatewind.Revision) slatewind.ServerUpdate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.revision.IsZero() {
-		return slatewind.Publication{}
+		return slatewind.ServerUpdate{}
 	}
-	p := slatewind.Publication{Revision: w.revision, Age: w.clock.Since(w.seen), Whole: !w.holdsSince(after), Cut: w.lost}
+	p := slatewind.ServerUpdate{Revision: w.revision, Age: w.clock.Since(w.seen), Complete: !w.holdsSince(after), PlatformUnreachable: w.lost}
 	for name, server := range w.servers {
-		if _, lapsed := w.lapsed[name]; !lapsed && (p.Whole || server.revision.After(after)) {
+		if _, lapsed := w.lapsed[name]; !lapsed && (p.Complete || server.revision.After(after)) {
 			p.Servers = append(p.Servers, server.ServerEntry)
 		}
 	}
@@ -336,12 +336,12 @@
 
 // addRemoved adds to a publication which servers went after a revision, and the newest
 // starts of those. A whole one names all of the latter: its reader knows none of them.
-func (w *Watcher) addRemoved(p *slatewind.Publication, after slatewind.Revision) {
+func (w *Watcher) addRemoved(p *slatewind.ServerUpdate, after slatewind.Revision) {
 	add := func(name string, gone removal) {
-		if !p.Whole && !gone.revision.After(after) {
+		if !p.Complete && !gone.revision.After(after) {
 			return
 		}
-		if !p.Whole {
+		if !p.Complete {
 			p.Removed = append(p.Removed, name)
 		}
 		if gone.start != 0 {
@@ -385,10 +385,10 @@
 
 // Startles reports whether a publication takes away servers that did not say that they
 // leave.
-func (w *Watcher) Startles(p slatewind.Publication) bool {
+func (w *Watcher) Startles(p slatewind.ServerUpdate) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if p.Whole {
+	if p.Complete {
 		return w.lacks(p)
 	}
 	return slices.ContainsFunc(p.Removed, func(name string) bool { return w.stays(name) })
@@ -396,7 +396,7 @@
 
 // lacks reports whether a whole publication lacks a server that did not say that it
 // leaves. The lock is held.
-func (w *Watcher) lacks(all slatewind.Publication) bool {
+func (w *Watcher) lacks(all slatewind.ServerUpdate) bool {
 	listed := listedIn(all)
 	for name := range w.servers {
 		if !listed[name] && w.stays(name) {
@@ -413,7 +413,7 @@
 	return known && !server.Leaving
 }
 
-func listedIn(all slatewind.Publication) map[string]bool {
+func listedIn(all slatewind.ServerUpdate) map[string]bool {
 	listed := make(map[string]bool, len(all.Servers))
 	for _, entry := range all.Servers {
 		listed[entry.Name] = true
--- a/discovery/restored.go
+++ b/discovery/restored.go
@@ -9,8 +9,8 @@
 // noteRestored notes that a publication is of an earlier state than what was known: the source
 // was restored from a copy. What the copy lacks may be written again, as after an outage. The
 // lock is held.
-func (w *Watcher) noteRestored(now time.Time, p slatewind.Publication) {
-	restored := p.Revision.Era > w.revision.Era || p.Whole && w.revision.After(p.Revision)
+func (w *Watcher) noteRestored(now time.Time, p slatewind.ServerUpdate) {
+	restored := p.Revision.Era > w.revision.Era || p.Complete && w.revision.After(p.Revision)
 	if w.revision.IsZero() || !restored {
 		return
 	}
--- a/discovery/restored_test.go
+++ b/discovery/restored_test.go
@@ -107,10 +107,10 @@
 
 // read answers a process that knows the store until a revision: with what changed since, or
 // with everything.
-func (s *modelStore) read(after slatewind.Revision) slatewind.Publication {
+func (s *modelStore) read(after slatewind.Revision) slatewind.ServerUpdate {
 	gone := s.telling != tellsNothing && (after.Number > s.revision.Number || after.Number < s.forgotten)
 	whole := after.IsZero() || after.Era != s.revision.Era || gone
-	p := slatewind.Publication{Revision: s.revision, Whole: whole}
+	p := slatewind.ServerUpdate{Revision: s.revision, Complete: whole}
 	for _, name := range slices.Sorted(maps.Keys(s.entries)) {
 		if e := s.entries[name]; whole || e.written > after.Number {
 			p.Servers = append(p.Servers, e.ServerEntry)
@@ -395,14 +395,14 @@
 		names[i] = fmt.Sprint("server-", i)
 	}
 	reader, other := NewWatcher(nil, newHeardBy()), NewWatcher(nil, newHeardBy())
-	reader.take(now, all(50, names...).Publication)
+	reader.take(now, all(50, names...).ServerUpdate)
 	relayed := reader.Since(other.Revision())
 	relayed.Relayed = true
 	other.take(now, relayed)
-	taken := slatewind.Publication{Revision: slatewind.Revision{Era: 1, Number: 40}, Whole: true, Servers: servers(names[1:]...)}
+	taken := slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 40}, Complete: true, Servers: servers(names[1:]...)}
 	reader.take(now, taken)
 	news := reader.Since(other.Revision())
 	assert.Equal(t, len(news.Servers), 0)
 	assert.DeepEqual(t, news.Removed, names[:1])
-	assert.Assert(t, reader.Since(at(51)).Whole, "who knows more of the older era is told everything")
+	assert.Assert(t, reader.Since(at(51)).Complete, "who knows more of the older era is told everything")
 }
--- a/discovery/share.go
+++ b/discovery/share.go
@@ -45,7 +45,7 @@
 type Peers interface {
 	// Since asks the process beside the server at an address which servers changed
 	// after a revision of the store; version is that of the settings known here.
-	Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.Publication, error)
+	Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.ServerUpdate, error)
 	// Exchange has another reader know what this one was told of sick servers, and this
 	// one what the other was told. It may fail: the next one is soon.
 	Exchange(ctx context.Context, address string)
@@ -53,7 +53,7 @@
 
 // Store is the platform's store itself.
 type Store interface {
-	slatewind.Publisher
+	slatewind.ServerSource
 	// Ping asks, at a small price, whether the store can be reached.
 	Ping(ctx context.Context) error
 }
@@ -81,7 +81,7 @@
 	electorate func() *electorate
 	// startles reports whether a publication takes away servers that did not say before
 	// that they leave: their entries may be missing since the store was away.
-	startles func(slatewind.Publication) bool
+	startles func(slatewind.ServerUpdate) bool
 	// feed keeps the settings, of which peers tell and are told the version.
 	feed *Feed
 	// seeds are asked where no server is known yet.
@@ -118,9 +118,9 @@
 	s.feed = feed
 }
 
-// Read implements slatewind.Publisher. A process that begins reads the store,
+// Read implements slatewind.ServerSource. A process that begins reads the store,
 // so that it starts with the newest; where the store is away, it asks others.
-func (s *Share) Read(ctx context.Context) (slatewind.Publication, error) {
+func (s *Share) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Read(ctx)
 	p.Age = s.clock.Since(began)
@@ -133,8 +133,8 @@
 	return p, err
 }
 
-// Changes implements slatewind.Publisher.
-func (s *Share) Changes(ctx context.Context, after slatewind.Revision) (slatewind.Publication, error) {
+// Changes implements slatewind.ServerSource.
+func (s *Share) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	elected := s.elected(time.Now())
 	readers := s.near(elected)
 	if s.reading(slices.Contains(readers, s.self) || len(readers) == 0) {
@@ -147,7 +147,7 @@
 	case fresh, answered && (s.cut || time.Now().Before(s.directAfter)):
 		return p, nil
 	case s.cut:
-		return slatewind.Publication{}, Error.New("neither the store nor the process beside %s answers", reader)
+		return slatewind.ServerUpdate{}, Error.New("neither the store nor the process beside %s answers", reader)
 	}
 	p, err := s.direct(ctx, after)
 	if err == nil && !p.Relayed {
@@ -160,18 +160,18 @@
 
 // follow asks a reader. It reports whether that one answered, and whether its news are
 // as good as the store's own.
-func (s *Share) follow(ctx context.Context, reader string, after slatewind.Revision) (p slatewind.Publication, answered, fresh bool) {
+func (s *Share) follow(ctx context.Context, reader string, after slatewind.Revision) (p slatewind.ServerUpdate, answered, fresh bool) {
 	pinged := s.pingWhileCut(ctx, time.Now())
 	p, answered = s.ask(ctx, reader, after)
 	s.endPing(pinged)
-	s.away = answered && p.Cut
+	s.away = answered && p.PlatformUnreachable
 	// What a reader without the store tells may be new, since it asks others in turn;
 	// but then its settings may be older than its news of servers.
-	fresh = answered && !p.Cut && p.Age <= freshAge
+	fresh = answered && !p.PlatformUnreachable && p.Age <= freshAge
 	if fresh && !s.cut && s.startles(p) {
 		s.endPing(s.ping(ctx))
 	}
-	p.Cut = s.cut
+	p.PlatformUnreachable = s.cut
 	return p, answered, fresh
 }
 
@@ -225,7 +225,7 @@
 }
 
 // direct asks the store. Where that fails, a peer may know more.
-func (s *Share) direct(ctx context.Context, after slatewind.Revision) (slatewind.Publication, error) {
+func (s *Share) direct(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Changes(ctx, after)
 	s.heard(err)
@@ -294,7 +294,7 @@
 }
 
 // ask asks one process; ok says that it answered and knows something.
-func (s *Share) ask(ctx context.Context, address string, after slatewind.Revision) (p slatewind.Publication, ok bool) {
+func (s *Share) ask(ctx context.Context, address string, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	began := s.clock.Now()
@@ -311,13 +311,13 @@
 }
 
 // askAnybody asks a random process.
-func (s *Share) askAnybody(ctx context.Context, after slatewind.Revision) (p slatewind.Publication, ok bool) {
+func (s *Share) askAnybody(ctx context.Context, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
 	others := s.without(addresses(s.places(), ""))
 	if len(others) == 0 {
 		return p, false
 	}
 	p, ok = s.ask(ctx, others[s.draw(len(others))], after)
-	p.Cut = s.cut
+	p.PlatformUnreachable = s.cut
 	return p, ok
 }
 
--- a/discovery/starts_test.go
+++ b/discovery/starts_test.go
@@ -63,8 +63,8 @@
 }
 
 // read is an answer of the store at a revision: all there is, or what changed since.
-func (h history) read(after, revision int) slatewind.Publication {
-	p := slatewind.Publication{Revision: at(uint64(revision)), Whole: after == 0}
+func (h history) read(after, revision int) slatewind.ServerUpdate {
+	p := slatewind.ServerUpdate{Revision: at(uint64(revision)), Complete: after == 0}
 	entry := h.at(revision)
 	switch {
 	case entry != nil && revision > after:
@@ -253,8 +253,8 @@
 // entry without one, under a name whose server states it, names no server.
 func TestStartOfUnknownTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	entry := func(start int64) slatewind.Publication {
-		return slatewind.Publication{Revision: at(2), Servers: []slatewind.ServerEntry{{Name: "s", Service: "svc", Address: "a:1", Start: start, Created: 1}}}
+	entry := func(start int64) slatewind.ServerUpdate {
+		return slatewind.ServerUpdate{Revision: at(2), Servers: []slatewind.ServerEntry{{Name: "s", Service: "svc", Address: "a:1", Start: start, Created: 1}}}
 	}
 	sink := newStartSink()
 	w := NewWatcher(nil, sink)
@@ -280,24 +280,24 @@
 		}
 		return list
 	}
-	whole := func(list ...[]slatewind.ServerEntry) slatewind.Publication {
-		return slatewind.Publication{Revision: at(1), Whole: true, Servers: slices.Concat(list...)}
+	whole := func(list ...[]slatewind.ServerEntry) slatewind.ServerUpdate {
+		return slatewind.ServerUpdate{Revision: at(1), Complete: true, Servers: slices.Concat(list...)}
 	}
-	later := func(revision uint64, list []slatewind.ServerEntry) slatewind.Publication {
-		return slatewind.Publication{Revision: at(revision), Servers: list}
+	later := func(revision uint64, list []slatewind.ServerEntry) slatewind.ServerUpdate {
+		return slatewind.ServerUpdate{Revision: at(revision), Servers: list}
 	}
 	tests := map[string]struct {
-		news     []slatewind.Publication
+		news     []slatewind.ServerUpdate
 		used     []string
 		findings int
 	}{
-		"none states one":           {[]slatewind.Publication{whole(entries(0, "a", "b"))}, []string{"a", "b"}, 0},
-		"all do":                    {[]slatewind.Publication{whole(entries(5, "a", "b"))}, []string{"a", "b"}, 0},
-		"one does not":              {[]slatewind.Publication{whole(entries(0, "a"), entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
-		"one that comes later":      {[]slatewind.Publication{whole(entries(5, "b", "c", "d")), later(2, entries(0, "a"))}, []string{"b", "c", "d"}, 1},
-		"one that came before most": {[]slatewind.Publication{whole(entries(0, "a")), later(2, entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
-		"one stranger states one":   {[]slatewind.Publication{whole(entries(0, "a", "b", "c"), entries(5, "x"))}, []string{"a", "b", "c", "x"}, 0},
-		"half of them":              {[]slatewind.Publication{whole(entries(0, "a", "b"), entries(5, "c", "d"))}, []string{"a", "b", "c", "d"}, 0},
+		"none states one":           {[]slatewind.ServerUpdate{whole(entries(0, "a", "b"))}, []string{"a", "b"}, 0},
+		"all do":                    {[]slatewind.ServerUpdate{whole(entries(5, "a", "b"))}, []string{"a", "b"}, 0},
+		"one does not":              {[]slatewind.ServerUpdate{whole(entries(0, "a"), entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
+		"one that comes later":      {[]slatewind.ServerUpdate{whole(entries(5, "b", "c", "d")), later(2, entries(0, "a"))}, []string{"b", "c", "d"}, 1},
+		"one that came before most": {[]slatewind.ServerUpdate{whole(entries(0, "a")), later(2, entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
+		"one stranger states one":   {[]slatewind.ServerUpdate{whole(entries(0, "a", "b", "c"), entries(5, "x"))}, []string{"a", "b", "c", "x"}, 0},
+		"half of them":              {[]slatewind.ServerUpdate{whole(entries(0, "a", "b"), entries(5, "c", "d"))}, []string{"a", "b", "c", "d"}, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -317,22 +317,22 @@
 // time is not.
 func TestStartAfterClockWentBack(t *testing.T) {
 	start := time.Unix(1000, 0)
-	entry := func(revision uint64, start int64) slatewind.Publication {
+	entry := func(revision uint64, start int64) slatewind.ServerUpdate {
 		e := slatewind.ServerEntry{Name: "s", Service: "svc", Address: "a:1", Start: start, Created: 1}
-		return slatewind.Publication{Revision: at(revision), Servers: []slatewind.ServerEntry{e}}
+		return slatewind.ServerUpdate{Revision: at(revision), Servers: []slatewind.ServerEntry{e}}
 	}
-	removed := slatewind.Publication{Revision: at(4), Removed: []string{"s"}}
+	removed := slatewind.ServerUpdate{Revision: at(4), Removed: []string{"s"}}
 	tests := map[string]struct {
-		news []slatewind.Publication
+		news []slatewind.ServerUpdate
 		// soon and late are the starts that are used before and after the while.
 		soon, late int64
 	}{
-		"it stands on":                    {[]slatewind.Publication{entry(2, 5), entry(3, 3)}, 5, 3},
-		"the newer one writes again":      {[]slatewind.Publication{entry(2, 5), entry(3, 3), entry(4, 5)}, 5, 5},
-		"it goes":                         {[]slatewind.Publication{entry(2, 5), entry(3, 3), removed}, 0, 0},
-		"it came after the newer one's":   {[]slatewind.Publication{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3)}, 0, 3},
-		"and goes before all is read":     {[]slatewind.Publication{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3), {Revision: at(5), Whole: true}}, 0, 0},
-		"nothing but the newer one wrote": {[]slatewind.Publication{entry(2, 5)}, 5, 5},
+		"it stands on":                    {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3)}, 5, 3},
+		"the newer one writes again":      {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), entry(4, 5)}, 5, 5},
+		"it goes":                         {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), removed}, 0, 0},
+		"it came after the newer one's":   {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3)}, 0, 3},
+		"and goes before all is read":     {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3), {Revision: at(5), Complete: true}}, 0, 0},
+		"nothing but the newer one wrote": {[]slatewind.ServerUpdate{entry(2, 5)}, 5, 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -365,8 +365,8 @@
 	}
 	sink := newStartSink()
 	w := NewWatcher(nil, sink)
-	w.take(now, slatewind.Publication{Revision: at(9), Whole: true, Servers: []slatewind.ServerEntry{entry(5, 8)}})
-	w.take(now, slatewind.Publication{Revision: slatewind.Revision{Era: 1, Number: 12}, Whole: true, Servers: []slatewind.ServerEntry{entry(3, 10)}})
+	w.take(now, slatewind.ServerUpdate{Revision: at(9), Complete: true, Servers: []slatewind.ServerEntry{entry(5, 8)}})
+	w.take(now, slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 12}, Complete: true, Servers: []slatewind.ServerEntry{entry(3, 10)}})
 	w.expire(now.Add(2 * lapseTime))
 	assert.Equal(t, sink.used(), int64(5))
 }
--- a/discovery/suspended_test.go
+++ b/discovery/suspended_test.go
@@ -23,9 +23,9 @@
 }
 
 // Since implements Peers.
-func (p suspendingPeers) Since(context.Context, string, slatewind.Revision, uint64) (slatewind.Publication, error) {
+func (p suspendingPeers) Since(context.Context, string, slatewind.Revision, uint64) (slatewind.ServerUpdate, error) {
 	*p.suspended += p.sleep
-	return slatewind.Publication{Revision: at(1)}, nil
+	return slatewind.ServerUpdate{Revision: at(1)}, nil
 }
 
 // Exchange implements Peers.
@@ -38,7 +38,7 @@
 	var suspended time.Duration
 	w := NewWatcher(nil, nil)
 	w.clock = suspendedFor(&suspended)
-	w.take(time.Now(), slatewind.Publication{Revision: at(1)})
+	w.take(time.Now(), slatewind.ServerUpdate{Revision: at(1)})
 	suspended += sleep
 	assert.Assert(t, w.Since(at(1)).Age >= sleep, "%s", w.Since(at(1)).Age)
 
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -82,7 +82,7 @@
 // Watcher follows the servers that a publisher tells of. It keeps what was
 // published, to tell changes and to pass the news on.
 type Watcher struct {
-	source slatewind.Publisher
+	source slatewind.ServerSource
 	sink   Sink
 
 	mu sync.Mutex
@@ -113,7 +113,7 @@
 }
 
 // NewWatcher returns a watcher that has heard nothing yet.
-func NewWatcher(source slatewind.Publisher, sink Sink) *Watcher {
+func NewWatcher(source slatewind.ServerSource, sink Sink) *Watcher {
 	return &Watcher{
 		source: source, sink: sink,
 		servers: map[string]known{}, removed: map[string]removal{}, lapsed: map[string]slatewind.Revision{}, overtaken: map[string]overtaken{},
@@ -170,7 +170,7 @@
 func (w *Watcher) step(ctx context.Context) (pace time.Duration, err error) {
 	after := w.after()
 	began := time.Now()
-	var p slatewind.Publication
+	var p slatewind.ServerUpdate
 	if after.IsZero() {
 		p, err = w.source.Read(ctx)
 	} else {
@@ -189,7 +189,7 @@
 	if took := now.Sub(began); took >= slowCall && !after.IsZero() {
 		w.sink.Slow(SlowNews{From: p.From, Took: took, Age: w.clock.Since(w.seen), Servers: len(p.Servers), Removed: len(p.Removed)})
 	}
-	if p.Cut {
+	if p.PlatformUnreachable {
 		w.failed(now, errCut)
 	} else {
 		w.reached(now)
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -65,7 +65,7 @@
 
 // answer is what a source says to one call.
 type answer struct {
-	slatewind.Publication
+	slatewind.ServerUpdate
 	err error
 }
 
@@ -75,22 +75,22 @@
 	reads   int
 }
 
-func (s *scripted) Read(ctx context.Context) (slatewind.Publication, error) {
+func (s *scripted) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	s.reads++
 	return s.next(ctx)
 }
 
-func (s *scripted) Changes(ctx context.Context, after slatewind.Revision) (slatewind.Publication, error) {
+func (s *scripted) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	if len(s.answers) == 0 {
-		return slatewind.Publication{Revision: after}, nil
+		return slatewind.ServerUpdate{Revision: after}, nil
 	}
 	return s.next(ctx)
 }
 
-func (s *scripted) next(context.Context) (slatewind.Publication, error) {
+func (s *scripted) next(context.Context) (slatewind.ServerUpdate, error) {
 	a := s.answers[0]
 	s.answers = s.answers[1:]
-	return a.Publication, a.err
+	return a.ServerUpdate, a.err
 }
 
 func servers(names ...string) []slatewind.ServerEntry {
@@ -105,7 +105,7 @@
 func at(number uint64) slatewind.Revision { return slatewind.Revision{Number: number} }
 
 func all(revision uint64, names ...string) answer {
-	return answer{Publication: slatewind.Publication{Revision: at(revision), Whole: true, Servers: servers(names...)}}
+	return answer{ServerUpdate: slatewind.ServerUpdate{Revision: at(revision), Complete: true, Servers: servers(names...)}}
 }
 
 // inEra returns an answer of a store that was restored so many times.
@@ -115,19 +115,19 @@
 }
 
 func gone(revision uint64, names ...string) answer {
-	return answer{Publication: slatewind.Publication{Revision: at(revision), Removed: names}}
+	return answer{ServerUpdate: slatewind.ServerUpdate{Revision: at(revision), Removed: names}}
 }
 
 func cut(a answer) answer {
-	a.Cut = true
+	a.PlatformUnreachable = true
 	return a
 }
 
 var (
 	down     = answer{err: errors.New("down")}
 	compact  = answer{err: slatewind.ErrHistoryGone}
-	unread   = answer{Publication: slatewind.Publication{Revision: at(9), Findings: []error{errors.New("bad entry")}}}
-	nothing  = answer{Publication: slatewind.Publication{Revision: at(1)}}
+	unread   = answer{ServerUpdate: slatewind.ServerUpdate{Revision: at(9), EntryErrors: []error{errors.New("bad entry")}}}
+	nothing  = answer{ServerUpdate: slatewind.ServerUpdate{Revision: at(1)}}
 	fullDrop = all(5, "a")
 )
 
@@ -145,7 +145,7 @@
 		"after lost history all is read anew":                  {[]answer{all(1, "a", "b"), compact, fullDrop}, 2 * time.Second, []string{"a"}, 2, false},
 		"an entry that cannot be read":                         {[]answer{all(1, "a"), unread}, time.Second, []string{"a"}, 1, false},
 		"while the store is away nothing goes":                 {append([]answer{all(1, "a")}, slices.Repeat([]answer{down}, 100)...), 10 * time.Second, []string{"a"}, 1, true},
-		"after an outage an entry may come back":               {[]answer{all(1, "a", "b"), down, gone(3, "a"), {Publication: slatewind.Publication{Revision: at(4), Servers: servers("a")}}}, 4 * time.Second, []string{"a", "b"}, 1, false},
+		"after an outage an entry may come back":               {[]answer{all(1, "a", "b"), down, gone(3, "a"), {ServerUpdate: slatewind.ServerUpdate{Revision: at(4), Servers: servers("a")}}}, 4 * time.Second, []string{"a", "b"}, 1, false},
 		"a restored store lacks a server, the next one has it": {[]answer{all(5, "a", "b"), inEra(1, all(4, "a")), inEra(2, all(3, "a", "b"))}, 5 * time.Second, []string{"a", "b"}, 1, false},
 		"a restored store lacks a server for good":             {[]answer{all(5, "a", "b"), inEra(1, all(4, "a"))}, 4 * time.Second, []string{"a"}, 1, false},
 		"after an outage it goes if it does not":               {[]answer{all(1, "a", "b"), down, gone(3, "a")}, 4 * time.Second, []string{"b"}, 1, false},
@@ -203,14 +203,14 @@
 // counted is a source that always has news.
 type counted struct{ calls int }
 
-func (c *counted) Read(context.Context) (slatewind.Publication, error) {
+func (c *counted) Read(context.Context) (slatewind.ServerUpdate, error) {
 	c.calls++
-	return slatewind.Publication{Revision: at(1), Whole: true, Servers: servers("a")}, nil
+	return slatewind.ServerUpdate{Revision: at(1), Complete: true, Servers: servers("a")}, nil
 }
 
-func (c *counted) Changes(_ context.Context, after slatewind.Revision) (slatewind.Publication, error) {
+func (c *counted) Changes(_ context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	c.calls++
-	return slatewind.Publication{Revision: at(after.Number + 1)}, nil
+	return slatewind.ServerUpdate{Revision: at(after.Number + 1)}, nil
 }
 
 // TestSince: what one watcher passes on brings another to the same view.
@@ -220,13 +220,13 @@
 	heard := newHeardBy()
 	second := NewWatcher(nil, heard)
 	pass := func() { second.take(now, first.Since(second.Revision())) }
-	first.take(now, all(1, "a", "b").Publication)
+	first.take(now, all(1, "a", "b").ServerUpdate)
 	pass()
 	assert.DeepEqual(t, heard.names(), []string{"a", "b"})
-	first.take(now, gone(3, "a").Publication)
-	first.take(now, slatewind.Publication{Revision: at(4), Servers: servers("c")})
+	first.take(now, gone(3, "a").ServerUpdate)
+	first.take(now, slatewind.ServerUpdate{Revision: at(4), Servers: servers("c")})
 	news := first.Since(second.Revision())
-	assert.Assert(t, !news.Whole)
+	assert.Assert(t, !news.Complete)
 	assert.Equal(t, len(news.Servers)+len(news.Removed), 2, "only what changed travels")
 	pass()
 	assert.DeepEqual(t, heard.names(), []string{"b", "c"})
@@ -246,16 +246,16 @@
 func TestSinceOfABeginner(t *testing.T) {
 	now := time.Unix(1000, 0)
 	beginner := NewWatcher(nil, newHeardBy())
-	beginner.take(now, all(5, "a", "c").Publication)
+	beginner.take(now, all(5, "a", "c").ServerUpdate)
 	heard := newHeardBy()
 	other := NewWatcher(nil, heard)
-	other.take(now, all(3, "a", "b").Publication)
+	other.take(now, all(3, "a", "b").ServerUpdate)
 	other.take(now, beginner.Since(other.Revision()))
 	assert.DeepEqual(t, heard.names(), []string{"a", "c"})
 	assert.Equal(t, other.Revision(), at(5))
-	beginner.take(now, gone(6, "a").Publication)
+	beginner.take(now, gone(6, "a").ServerUpdate)
 	news := beginner.Since(other.Revision())
-	assert.Assert(t, !news.Whole, "from then on only what changed travels")
+	assert.Assert(t, !news.Complete, "from then on only what changed travels")
 	assert.DeepEqual(t, news.Removed, []string{"a"})
 }
 
@@ -265,19 +265,19 @@
 func TestSinceWhileKeeping(t *testing.T) {
 	now := time.Unix(1000, 0)
 	keeping := NewWatcher(nil, newHeardBy())
-	keeping.take(now, all(1, "a", "b").Publication)
+	keeping.take(now, all(1, "a", "b").ServerUpdate)
 	keeping.failed(now, errCut)
 	heard := newHeardBy()
 	other := NewWatcher(nil, heard)
 	other.take(now, keeping.Since(at(0)))
-	keeping.take(now, gone(2, "b").Publication)
+	keeping.take(now, gone(2, "b").ServerUpdate)
 	assert.Equal(t, len(keeping.servers), 2)
 	other.take(now, keeping.Since(other.Revision()))
 	assert.DeepEqual(t, heard.names(), []string{"a"})
 	beginner := newHeardBy()
 	NewWatcher(nil, beginner).take(now, keeping.Since(at(0)))
 	assert.DeepEqual(t, beginner.names(), []string{"a"})
-	keeping.take(now, slatewind.Publication{Revision: at(3), Servers: servers("b")})
+	keeping.take(now, slatewind.ServerUpdate{Revision: at(3), Servers: servers("b")})
 	other.take(now, keeping.Since(other.Revision()))
 	assert.DeepEqual(t, heard.names(), []string{"a", "b"})
 }
--- a/history/history.go
+++ b/history/history.go
@@ -88,7 +88,7 @@
 	if f.Server != "" && f.Server != d.Server {
 		return false
 	}
-	return f.Request == "" || f.Request == d.Request || slatewind.CallOf(d.Request, f.Request)
+	return f.Request == "" || f.Request == d.Request || slatewind.IsNestedCallID(d.Request, f.Request)
 }
 
 // Find returns the matching decisions, oldest first.
--- a/inbound/answer.go
+++ b/inbound/answer.go
@@ -82,7 +82,7 @@
 }
 
 // A load report has three figures: requests running, requests waiting, slots
-// (slatewind.ServerDialect).
+// (slatewind.ServerHeaders).
 const (
 	loadFigures = 3
 	slotsFigure = 2
@@ -103,7 +103,7 @@
 
 // resultOf returns what an answer's status says of the server.
 func resultOf(status int) breaker.Result {
-	if status >= slatewind.FirstServerError {
+	if status >= slatewind.MinServerErrorStatus {
 		return breaker.ResultError
 	}
 	return breaker.ResultOK
--- a/inbound/calls.go
+++ b/inbound/calls.go
@@ -34,21 +34,21 @@
 	}
 }
 
-// Call implements slatewind.Calls. A call is known by its id, which is that of the
+// NestedCall implements slatewind.NestedCalls. A call is known by its id, which is that of the
 // request that the server runs, a separator and something more. Where servers
 // form the ids of their calls in another way, none is recognised: then calls are
 // requests like any other, and each error answer counts against its server.
-func (in *Inbound) Call(id string) (slatewind.Call, bool) {
+func (in *Inbound) NestedCall(id string) (slatewind.NestedCall, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	p := in.parentOf(id)
 	if p == nil {
-		return slatewind.Call{}, false
+		return slatewind.NestedCall{}, false
 	}
 	p.open++
 	now := time.Now()
 	in.judge(now).Pause(now, p.item)
-	return slatewind.Call{Repeat: p.repeat, Workspace: p.workspace, End: func(served bool) { in.endCall(p, served) }}, true
+	return slatewind.NestedCall{Repeat: p.repeat, Workspace: p.workspace, End: func(served bool) { in.endCall(p, served) }}, true
 }
 
 // parentOf returns the running request with the longest id that a call's id
@@ -57,7 +57,7 @@
 	for end := len(id); end > 0; {
 		separator, width := utf8.DecodeLastRuneInString(id[:end])
 		end -= width
-		if p := in.parents[id[:end]]; p != nil && slatewind.SeparatesCall(separator) {
+		if p := in.parents[id[:end]]; p != nil && slatewind.IsCallIDSeparator(separator) {
 			return p
 		}
 	}
--- a/inbound/calls_test.go
+++ b/inbound/calls_test.go
@@ -44,7 +44,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			for _, id := range test.calls {
-				call, known := p.Call(id)
+				call, known := p.NestedCall(id)
 				if known && !test.open {
 					call.End(test.served)
 				}
@@ -62,10 +62,10 @@
 func TestCallsOfEndedRequests(t *testing.T) {
 	p := newPlace(t)
 	assert.Equal(t, p.run(reservation(), "a"), "200 s-1 /x b")
-	_, known := p.Call("a.1")
+	_, known := p.NestedCall("a.1")
 	assert.Assert(t, !known)
 	_, reply := p.reserve(context.Background(), reservation())
 	assert.Assert(t, reply.GetGranted() != nil)
-	_, known = p.Call("b.1")
+	_, known = p.NestedCall("b.1")
 	assert.Assert(t, !known, "a request that was not sent makes no calls")
 }
--- a/inbound/crash_test.go
+++ b/inbound/crash_test.go
@@ -50,7 +50,7 @@
 			p.run(reservation(), "id")
 			var lines []string
 			for _, d := range journal.Find(history.Filter{}) {
-				if d.Kind == slatewind.DecisionEnded {
+				if d.Kind == slatewind.DecisionServerEnded {
 					lines = append(lines, d.Evidence)
 				}
 			}
--- a/inbound/inbound.go
+++ b/inbound/inbound.go
@@ -72,7 +72,7 @@
 	Service string
 	// Address is the server's IP:port.
 	Address string
-	Dialect slatewind.ServerDialect
+	Dialect slatewind.ServerHeaders
 }
 
 // Bounds holds the operators' bound on extra arrivals at the servers of a service:
--- a/inbound/pause_test.go
+++ b/inbound/pause_test.go
@@ -75,7 +75,7 @@
 // callFirst has the server make a call for one of its requests.
 func callFirst(t *testing.T, in *Inbound, now time.Time) {
 	t.Helper()
-	_, known := in.Call("a.1")
+	_, known := in.NestedCall("a.1")
 	assert.Assert(t, known)
 	in.tick(now)
 }
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -169,7 +169,7 @@
 	if errors.Is(cause, link.ErrCrossed) || errors.Is(cause, link.ErrBroken) {
 		in.meter.Dropped(rq.service.GetName(), cause.Error())
 		in.journal.Add(slatewind.Decision{
-			Time: time.Now(), Kind: slatewind.DecisionDrop, Service: rq.service.GetName(),
+			Time: time.Now(), Kind: slatewind.DecisionDropReply, Service: rq.service.GetName(),
 			Server: a.server.GetName(), Request: rq.id, Reason: cause.Error(),
 		})
 	}
--- a/ingress/repeatable.go
+++ b/ingress/repeatable.go
@@ -113,7 +113,7 @@
 // take handles the result of one attempt; done says that f is final.
 func (r *race) take(result attemptResult) (f final, done bool) {
 	r.last = result
-	failed := result.outcome == slatewind.OutcomeAnswer && result.reply.Head.GetStatus() >= slatewind.FirstServerError
+	failed := result.outcome == slatewind.OutcomeAnswer && result.reply.Head.GetStatus() >= slatewind.MinServerErrorStatus
 	if failed {
 		r.serverError = &result
 	}
--- a/internal/standin/stamped.go
+++ b/internal/standin/stamped.go
@@ -37,7 +37,7 @@
 // Stamped is a stand-in for a backend server that signs its answers, checks who
 // is meant and counts what it runs.
 type Stamped struct {
-	dialect slatewind.ServerDialect
+	dialect slatewind.ServerHeaders
 	name    string
 
 	mu    sync.Mutex
@@ -54,7 +54,7 @@
 }
 
 // NewStamped returns a server with a name.
-func NewStamped(name string, dialect slatewind.ServerDialect) *Stamped {
+func NewStamped(name string, dialect slatewind.ServerHeaders) *Stamped {
 	return &Stamped{dialect: dialect, name: name, runs: map[string]int{}, headers: map[string]http.Header{}, release: make(chan struct{}), crashed: make(chan struct{})}
 }
 
--- a/link/news.go
+++ b/link/news.go
@@ -20,17 +20,17 @@
 // revision of the store. version is that of the settings that the caller has, told are its
 // reports of sick servers and of requests under which servers ended; those of the other process
 // come back.
-func (p *Pool) Since(ctx context.Context, address string, after slatewind.Revision, version uint64, told Told) (slatewind.Publication, Told, error) {
+func (p *Pool) Since(ctx context.Context, address string, after slatewind.Revision, version uint64, told Told) (slatewind.ServerUpdate, Told, error) {
 	question := &slatewindv1.SinceRequest{
 		Era: after.Era, Revision: after.Number, Version: version, Reports: told.Reports, SuspectsSum: told.Suspects.Sum, Suspects: SuspectsOf(told.Suspects.Records),
 	}
 	reply, err := call(ctx, p, address, question, slatewindv1.NewNewsClient, slatewindv1.NewsClient.Since)
 	if err != nil {
-		return slatewind.Publication{}, Told{}, err
+		return slatewind.ServerUpdate{}, Told{}, err
 	}
-	news := slatewind.Publication{
-		Revision: slatewind.Revision{Era: reply.GetEra(), Number: reply.GetRevision()}, Age: time.Duration(reply.GetAgeNanos()), Whole: reply.GetWhole(), Removed: reply.GetRemoved(),
-		Version: reply.GetVersion(), Cut: reply.GetCut(),
+	news := slatewind.ServerUpdate{
+		Revision: slatewind.Revision{Era: reply.GetEra(), Number: reply.GetRevision()}, Age: time.Duration(reply.GetAgeNanos()), Complete: reply.GetWhole(), Removed: reply.GetRemoved(),
+		Version: reply.GetVersion(), PlatformUnreachable: reply.GetCut(),
 	}
 	for _, s := range reply.GetServers() {
 		news.Servers = append(news.Servers, slatewind.ServerEntry{
@@ -50,7 +50,7 @@
 	slatewindv1.UnimplementedNewsServer
 	// Known returns which servers changed after a revision of the store, for a
 	// process that has the given version of the settings.
-	Known func(after slatewind.Revision, version uint64) slatewind.Publication
+	Known func(after slatewind.Revision, version uint64) slatewind.ServerUpdate
 	// Exchange takes what another process tells and returns what this one does.
 	Exchange func(told Told) Told
 	// Told takes what has just happened beside another process.
@@ -66,7 +66,7 @@
 	news := s.Known(slatewind.Revision{Era: request.GetEra(), Number: request.GetRevision()}, request.GetVersion())
 	told := s.Exchange(Told{request.GetReports(), Suspects{request.GetSuspectsSum(), RecordsOf(request.GetSuspects())}})
 	reply := &slatewindv1.SinceReply{
-		Era: news.Revision.Era, Revision: news.Revision.Number, AgeNanos: int64(news.Age), Whole: news.Whole, Removed: news.Removed, Version: news.Version, Cut: news.Cut,
+		Era: news.Revision.Era, Revision: news.Revision.Number, AgeNanos: int64(news.Age), Whole: news.Complete, Removed: news.Removed, Version: news.Version, Cut: news.PlatformUnreachable,
 		Reports: told.Reports, SuspectsSum: told.Suspects.Sum, Suspects: SuspectsOf(told.Suspects.Records),
 	}
 	for _, e := range news.Servers {
--- a/logreport/collector.go
+++ b/logreport/collector.go
@@ -130,7 +130,7 @@
 		return c.unserved(l, slatewind.OutcomeNotRun)
 	case slatewind.DecisionUnknown:
 		return c.unserved(l, slatewind.OutcomeUnknown)
-	case slatewind.DecisionError:
+	case slatewind.DecisionServerError:
 		return c.unserved(l, slatewind.OutcomeAnswer)
 	case slatewind.DecisionRetry, slatewind.DecisionHedge:
 		c.extra(l, kind)
--- a/once/once.go
+++ b/once/once.go
@@ -252,7 +252,7 @@
 		return
 	}
 	known.state = slatewind.RecordDone
-	if size := answerSize(answer); !answer.TooLong && size <= maxAnswerBytes {
+	if size := answerSize(answer); !answer.BodyOmitted && size <= maxAnswerBytes {
 		known.answer = answer
 		s.answerBytes += size
 	}
--- a/outbound/dispatch.go
+++ b/outbound/dispatch.go
@@ -199,7 +199,7 @@
 // take handles the result of one attempt; done says that f is final.
 func (d *dispatch) take(r result) (f final, done bool) {
 	d.learn(r)
-	failed := r.answer != nil && r.answer.head.GetStatus() >= slatewind.FirstServerError
+	failed := r.answer != nil && r.answer.head.GetStatus() >= slatewind.MinServerErrorStatus
 	switch {
 	case r.answer != nil && !failed:
 		return r.final, true
@@ -234,7 +234,7 @@
 	if last.answer == nil {
 		reason += "; the last attempt: " + last.reason
 	}
-	d.journal(slatewind.DecisionError, d.best.server, reason)
+	d.journal(slatewind.DecisionServerError, d.best.server, reason)
 }
 
 // again starts another attempt after a failed one, if that is allowed. A refused
--- a/outbound/modeldecision_test.go
+++ b/outbound/modeldecision_test.go
@@ -52,7 +52,7 @@
 
 // decideReally drives the dispatch itself. Attempts that it starts find no server.
 func decideReally(kind slatewind.Kind, key decisionKey, r result) decision {
-	o := New(Self{}, slatewind.CallerDialect{}, nil, silent{}, nil, nil, silent{}, nil, nil, quarantine.NewTable(nil, nil))
+	o := New(Self{}, slatewind.CallerHeaders{}, nil, silent{}, nil, nil, silent{}, nil, nil, quarantine.NewTable(nil, nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if key.over {
--- a/outbound/modelsteps_test.go
+++ b/outbound/modelsteps_test.go
@@ -162,7 +162,7 @@
 	case replyAnswer:
 		r.outcome, r.answer = slatewind.OutcomeAnswer, &answer{head: &slatewindv1.AnswerHead{Status: 200}}
 	case replyError:
-		r.outcome, r.answer = slatewind.OutcomeAnswer, &answer{head: &slatewindv1.AnswerHead{Status: slatewind.FirstServerError}}
+		r.outcome, r.answer = slatewind.OutcomeAnswer, &answer{head: &slatewindv1.AnswerHead{Status: slatewind.MinServerErrorStatus}}
 	case replyNone, replyGranted, replyUnknown, replyBroken:
 		if m.without == silenceIsNoProof && reply == replyBroken {
 			r.outcome = slatewind.OutcomeNotRun
--- a/outbound/outbound.go
+++ b/outbound/outbound.go
@@ -80,11 +80,11 @@
 // for use by several goroutines.
 type Outbound struct {
 	self    Self
-	dialect slatewind.CallerDialect
+	dialect slatewind.CallerHeaders
 	store   *config.Store
 	journal slatewind.Journal
 	links   Opener
-	calls   slatewind.Calls
+	calls   slatewind.NestedCalls
 	meter   Meter
 	reports Reports
 	limiter slatewind.Limiter
@@ -117,7 +117,7 @@
 }
 
 // New returns an ingress that knows no servers yet. Its settings come from store.
-func New(self Self, dialect slatewind.CallerDialect, store *config.Store, journal slatewind.Journal, links Opener, calls slatewind.Calls, meter Meter, reports Reports, limiter slatewind.Limiter, suspects *quarantine.Table) *Outbound {
+func New(self Self, dialect slatewind.CallerHeaders, store *config.Store, journal slatewind.Journal, links Opener, calls slatewind.NestedCalls, meter Meter, reports Reports, limiter slatewind.Limiter, suspects *quarantine.Table) *Outbound {
 	ended, end := context.WithCancel(context.Background())
 	return &Outbound{
 		self: self, dialect: dialect, store: store, journal: journal, links: links, calls: calls, meter: meter, reports: reports, limiter: limiter, suspects: suspects, ended: ended, end: end,
--- a/outbound/outbound_test.go
+++ b/outbound/outbound_test.go
@@ -79,8 +79,8 @@
 	return slatewind.LimitVerdict{Allowed: true}
 }
 
-// Call implements slatewind.Calls: no request of a mesh is a server's call.
-func (m *mesh) Call(string) (slatewind.Call, bool) { return slatewind.Call{}, false }
+// NestedCall implements slatewind.NestedCalls: no request of a mesh is a server's call.
+func (m *mesh) NestedCall(string) (slatewind.NestedCall, bool) { return slatewind.NestedCall{}, false }
 
 // Open implements outbound.Opener.
 func (m *mesh) Open(ctx context.Context, server slatewind.ServerEntry) (link.Use, error) {
--- a/outbound/reply.go
+++ b/outbound/reply.go
@@ -81,7 +81,7 @@
 
 // served reports whether the outcome is a server's answer and no error of its own.
 func (f *final) served() bool {
-	return f.answer != nil && f.answer.head.GetStatus() < slatewind.FirstServerError
+	return f.answer != nil && f.answer.head.GetStatus() < slatewind.MinServerErrorStatus
 }
 
 // surveyed returns the counts of the last search, where it found no slot.
--- a/outbound/request.go
+++ b/outbound/request.go
@@ -57,7 +57,7 @@
 	// left is closed when the caller leaves or has its answer.
 	left <-chan struct{}
 	// call is set where the request is a call of one that a server already runs.
-	call *slatewind.Call
+	call *slatewind.NestedCall
 	// workspace is that of the caller, or of the request for which the call is made; nil where
 	// there is none.
 	workspace *slatewindv1.Workspace
@@ -124,8 +124,8 @@
 }
 
 // callOf returns the call that a request is, or nil.
-func (o *Outbound) callOf(r *http.Request) *slatewind.Call {
-	if call, ok := o.calls.Call(r.Header.Get(o.dialect.RequestID)); ok {
+func (o *Outbound) callOf(r *http.Request) *slatewind.NestedCall {
+	if call, ok := o.calls.NestedCall(r.Header.Get(o.dialect.RequestID)); ok {
 		return &call
 	}
 	return nil
@@ -133,7 +133,7 @@
 
 // endCall notes the end of a call, which may be nil. It comes before the answer: what the server
 // does with that is its own doing.
-func endCall(call *slatewind.Call, served bool) {
+func endCall(call *slatewind.NestedCall, served bool) {
 	if call != nil {
 		call.End(served)
 	}
@@ -155,7 +155,7 @@
 }
 
 // newRequest reads and checks a caller's request.
-func (o *Outbound) newRequest(now time.Time, call *slatewind.Call, w http.ResponseWriter, r *http.Request) (*request, error) {
+func (o *Outbound) newRequest(now time.Time, call *slatewind.NestedCall, w http.ResponseWriter, r *http.Request) (*request, error) {
 	snapshot := o.store.Current()
 	if snapshot == nil {
 		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "no settings are in force yet", retryAfter: unreadyRetryAfter}
@@ -203,7 +203,7 @@
 
 // identify returns the workspace that sends a request. A call has no key: it is made for the
 // request that the server runs, and belongs to its workspace.
-func (o *Outbound) identify(snapshot *config.Snapshot, route *slatewindv1.Route, call *slatewind.Call, r *http.Request) (*slatewindv1.Workspace, error) {
+func (o *Outbound) identify(snapshot *config.Snapshot, route *slatewindv1.Route, call *slatewind.NestedCall, r *http.Request) (*slatewindv1.Workspace, error) {
 	keys := r.Header.Values(o.dialect.Key)
 	if call != nil && len(keys) == 0 {
 		return snapshot.Workspaces.Named(call.Workspace), nil
--- a/publish.go
+++ b/publish.go
@@ -97,10 +97,10 @@
 	Fleet    *slatewindv1.Fleet
 }
 
-// Publication is what a source tells of servers at one moment: everything, or
+// ServerUpdate is what a source tells of servers at one moment: everything, or
 // what changed since a revision. It is small and urgent. Settings may be large,
 // so they come by themselves, and no server's word waits for them.
-type Publication struct {
+type ServerUpdate struct {
 	// Revision is the source's up to which this tells.
 	Revision Revision
 	// Version is that of the newest settings that the source has, where it is
@@ -113,51 +113,51 @@
 	// Ended are the newest known starts of servers whose entries are gone. A source that is
 	// another process tells of them, so that no older start's entry counts that comes late.
 	Ended []ServerStart
-	// Whole says that Servers are all that there are.
-	Whole bool
+	// Complete says that Servers are all that there are.
+	Complete bool
 	// Relayed publications came from another process, From its server's address.
 	Relayed bool
 	From    string
-	// Cut says that the process which has this news cannot reach the platform itself:
+	// PlatformUnreachable says that the process which has this news cannot reach the platform itself:
 	// it was told by others, and servers near it may be missing for that reason alone.
-	Cut bool
+	PlatformUnreachable bool
 	// Age is how long ago this was the platform's state; zero is just now.
 	Age time.Duration
-	// Findings are entries that could not be read, each with its place.
-	Findings []error
+	// EntryErrors are entries that could not be read, each with its place.
+	EntryErrors []error
 }
 
-// Publisher reads what the platform publishes about servers.
-type Publisher interface {
+// ServerSource reads what the platform publishes about servers.
+type ServerSource interface {
 	// Read returns all servers that are published now, as a whole publication.
-	Read(ctx context.Context) (Publication, error)
+	Read(ctx context.Context) (ServerUpdate, error)
 	// Changes returns at once what changed after a revision. The error is
 	// ErrHistoryGone where a new Read is due.
-	Changes(ctx context.Context, after Revision) (Publication, error)
+	Changes(ctx context.Context, after Revision) (ServerUpdate, error)
 }
 
-// SettingsNews is what a source tells of settings.
-type SettingsNews struct {
+// SettingsUpdate is what a source tells of settings.
+type SettingsUpdate struct {
 	// Settings is nil where they did not change.
 	Settings *PublishedSettings
 	// Revision is the source's up to which this tells. Changes to
 	// other things count too, and a source forgets old ones, so that the next
 	// question begins here even where settings did not change.
 	Revision Revision
-	// Finding says, with its place, that settings were written and cannot be read.
-	Finding error
+	// Err says, with its place, that settings were written and cannot be read.
+	Err error
 }
 
-// SettingsPublisher reads the settings that the platform publishes.
-type SettingsPublisher interface {
+// SettingsSource reads the settings that the platform publishes.
+type SettingsSource interface {
 	// Settings returns what is new as soon as settings are written at a revision
 	// above after, or when wait is over. A large answer may take longer, as long as
 	// it goes on coming.
-	Settings(ctx context.Context, after Revision, wait time.Duration) (SettingsNews, error)
+	Settings(ctx context.Context, after Revision, wait time.Duration) (SettingsUpdate, error)
 }
 
-// CallerDialect names the header fields between callers and the fleet.
-type CallerDialect struct {
+// CallerHeaders names the header fields between callers and the fleet.
+type CallerHeaders struct {
 	// RequestID is the id that the caller gave its request.
 	RequestID string
 	// Deadline is the time in milliseconds that the caller will wait.
@@ -170,8 +170,8 @@
 	Workspace string
 }
 
-// ServerDialect names the header fields between the fleet and a server.
-type ServerDialect struct {
+// ServerHeaders names the header fields between the fleet and a server.
+type ServerHeaders struct {
 	// RequestID is the caller's id, in requests and answers.
 	RequestID string
 	// Deadline is the time in milliseconds that is left to the request.
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -37,7 +37,7 @@
 			shown = append(shown, digest.String())
 		}
 	}
-	about.Time, about.Kind = now, slatewind.DecisionEnded
+	about.Time, about.Kind = now, slatewind.DecisionServerEnded
 	about.Reason = "the server ended while it ran the request"
 	about.Evidence = fmt.Sprintf("end=%08x digests=%s trials=%d", uint32(e.ID), strings.Join(shown, ","), len(e.Trials))
 	return about
--- a/replay/events.go
+++ b/replay/events.go
@@ -33,7 +33,7 @@
 		p.listed(e)
 	case e.Settings != nil:
 		if err := p.applySettings(e.Settings); err != nil {
-			p.journal.Add(slatewind.Decision{Time: p.now(), Kind: slatewind.DecisionStale, Reason: err.Error()})
+			p.journal.Add(slatewind.Decision{Time: p.now(), Kind: slatewind.DecisionSettingsIgnored, Reason: err.Error()})
 		}
 	case e.Sync != nil:
 		p.sync(e.Sync)
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -158,7 +158,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	draining := response.Header.Get(HeaderDraining) != ""
-	if response.StatusCode >= slatewind.FirstServerError && !draining {
+	if response.StatusCode >= slatewind.MinServerErrorStatus && !draining {
 		return false, Error.New("probe got status %d", response.StatusCode)
 	}
 	return draining, nil
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -255,7 +255,7 @@
 }
 
 func resultOf(status int) slatewind.Result {
-	if status >= slatewind.FirstServerError {
+	if status >= slatewind.MinServerErrorStatus {
 		return slatewind.ResultError
 	}
 	return slatewind.ResultOK
@@ -360,7 +360,7 @@
 		r.breakOff(ctx)
 		return errors.Join(errBrokenOff, err)
 	}
-	r.finish(&slatewind.Answer{Status: answer.Status, Headers: answer.Headers, TooLong: true})
+	r.finish(&slatewind.Answer{Status: answer.Status, Headers: answer.Headers, BodyOmitted: true})
 	return r.sendEnd(w)
 }
 
--- a/slatewind.go
+++ b/slatewind.go
@@ -213,31 +213,31 @@
 
 // Kinds of decision.
 const (
-	DecisionEject     DecisionKind = "eject"
-	DecisionSuspect   DecisionKind = "suspect"
-	DecisionTrial     DecisionKind = "trial"
-	DecisionRamp      DecisionKind = "ramp"
-	DecisionReturn    DecisionKind = "return"
-	DecisionFloor     DecisionKind = "floor"
-	DecisionRefuse    DecisionKind = "refuse"
-	DecisionUnknown   DecisionKind = "unknown"
-	DecisionRetry     DecisionKind = "retry"
-	DecisionHedge     DecisionKind = "hedge"
-	DecisionHandOver  DecisionKind = "hand-over"
-	DecisionReplay    DecisionKind = "replay"
-	DecisionDrop      DecisionKind = "drop-reply"
-	DecisionSettings  DecisionKind = "settings"
-	DecisionStale     DecisionKind = "settings-ignored"
-	DecisionEntry     DecisionKind = "entry-ignored"
-	DecisionLeaving   DecisionKind = "leaving"
-	DecisionMember    DecisionKind = "member"
-	DecisionAway      DecisionKind = "away"
-	DecisionSuspicion DecisionKind = "suspicion"
-	DecisionIdle      DecisionKind = "idle"
-	// DecisionError: a server's own error answer is passed on.
-	DecisionError DecisionKind = "server-error"
-	// DecisionEnded: a server ended while it ran a request, and nobody had planned that.
-	DecisionEnded DecisionKind = "server-ended"
+	DecisionEject           DecisionKind = "eject"
+	DecisionSuspect         DecisionKind = "suspect"
+	DecisionTrial           DecisionKind = "trial"
+	DecisionRamp            DecisionKind = "ramp"
+	DecisionReturn          DecisionKind = "return"
+	DecisionFloor           DecisionKind = "floor"
+	DecisionRefuse          DecisionKind = "refuse"
+	DecisionUnknown         DecisionKind = "unknown"
+	DecisionRetry           DecisionKind = "retry"
+	DecisionHedge           DecisionKind = "hedge"
+	DecisionHandOver        DecisionKind = "hand-over"
+	DecisionReplay          DecisionKind = "replay"
+	DecisionDropReply       DecisionKind = "drop-reply"
+	DecisionSettings        DecisionKind = "settings"
+	DecisionSettingsIgnored DecisionKind = "settings-ignored"
+	DecisionEntryIgnored    DecisionKind = "entry-ignored"
+	DecisionLeaving         DecisionKind = "leaving"
+	DecisionMember          DecisionKind = "member"
+	DecisionAway            DecisionKind = "away"
+	DecisionSuspicion       DecisionKind = "suspicion"
+	DecisionIdle            DecisionKind = "idle"
+	// DecisionServerError: a server's own error answer is passed on.
+	DecisionServerError DecisionKind = "server-error"
+	// DecisionServerEnded: a server ended while it ran a request, and nobody had planned that.
+	DecisionServerEnded DecisionKind = "server-ended"
 	// DecisionQuarantine: a request is refused from now on, since servers ended under it.
 	DecisionQuarantine DecisionKind = "quarantine"
 )
@@ -270,8 +270,8 @@
 	Latency time.Duration
 }
 
-// FirstServerError is the first HTTP status that counts as an error of a server.
-const FirstServerError = 500
+// MinServerErrorStatus is the first HTTP status that counts as an error of a server.
+const MinServerErrorStatus = 500
 
 // Header is one header field of a request or an answer.
 type Header struct {
@@ -284,6 +284,6 @@
 	Status  int
 	Headers []Header
 	Body    []byte
-	// TooLong: the body was passed on without being kept.
-	TooLong bool
+	// BodyOmitted: the body was passed on without being kept.
+	BodyOmitted bool
 }
--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -175,7 +175,7 @@
 	"a copy brings a removed server back": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartRestores,
-		edits:   []overlay.Edit{{File: "discovery/known.go", From: "case p.Whole && w.broughtBack(entry, p.Revision):", To: "case false:"}},
+		edits:   []overlay.Edit{{File: "discovery/known.go", From: "case p.Complete && w.broughtBack(entry, p.Revision):", To: "case false:"}},
 	},
 	"no budget": {
 		promise: soak.PromiseBudget,
