--- a/call.go
+++ b/call.go
@@ -6,25 +6,25 @@
 	"unicode/utf8"
 )
 
-// NestedCall is a request that the server of this VM makes while it runs another: part
-// of work that has begun.
+// NestedCall is a request that a server of this VM makes while it is running another request, as
+// part of that request's work.
 type NestedCall struct {
-	// Repeat says that the run it belongs to is not the first of its request.
+	// Repeat reports that the run that makes the call is not the first run of its request.
 	Repeat bool
-	// Workspace is that of the request for which it is made; empty where that has none.
+	// Workspace is the workspace of the request that makes the call; empty if it has none.
 	Workspace string
-	// End notes what became of the call; it must be used once.
+	// End records the end of the call and whether it was served. It must be called exactly once.
 	End func(served bool)
 }
 
-// NestedCalls knows which requests are calls that the server of this VM makes.
+// NestedCalls identifies the requests that are nested calls of the servers of this VM.
 type NestedCalls interface {
-	// NestedCall reports whether the request with an id is such a call.
+	// NestedCall returns the nested call that has the given request ID, and whether there is one.
 	NestedCall(id string) (NestedCall, bool)
 }
 
-// IsNestedCallID reports whether an id is that of a call which a server made for the request with the
-// other id: the call's extends it by a separator and something more.
+// IsNestedCallID reports whether id is the ID of a nested call of the given request: the request's
+// ID, extended by a separator and any further characters.
 func IsNestedCallID(id, request string) bool {
 	rest, extends := strings.CutPrefix(id, request)
 	if !extends || rest == "" || request == "" {
@@ -34,6 +34,6 @@
 	return IsCallIDSeparator(separator)
 }
 
-// IsCallIDSeparator reports whether a character may stand in a call's id between that of its request
-// and what follows: it is neither a letter nor a digit.
+// IsCallIDSeparator reports whether r may separate the request's ID from the rest of the ID of a
+// nested call: any character but letters and digits.
 func IsCallIDSeparator(r rune) bool { return !unicode.IsLetter(r) && !unicode.IsDigit(r) }
--- a/limits.go
+++ b/limits.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// WorkspaceLimit bounds a workspace's requests over all processes.
+// WorkspaceLimit is the rate limit of a workspace, enforced over all processes together.
 type WorkspaceLimit struct {
 	Workspace string
-	// Rate is requests a second; 0 is without limit.
+	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests may come at once.
+	// Burst is the maximum number of requests that are admitted at once.
 	Burst float64
-	// Version is that of the settings which state the limit; the highest counts.
+	// Version is the version of the settings that define the limit; the highest version
+	// takes precedence.
 	Version uint64
 }
 
-// LimitVerdict says whether a request may be sent on.
+// LimitVerdict states whether a request is admitted.
 type LimitVerdict struct {
 	Allowed bool
-	// OverLimit says that the workspace is beyond its limit, and not that no process that
-	// knows could be asked.
+	// OverLimit is only meaningful if Allowed is false. It reports that the request was rejected
+	// because the workspace has exceeded its limit, not because no process that keeps the limit
+	// could be reached.
 	OverLimit bool
-	// RetryAfter is when a refused caller is to come back.
+	// RetryAfter is how long a rejected caller should wait before it retries.
 	RetryAfter time.Duration
-	// Evidence holds the figures that decided.
+	// Evidence holds the figures on which the verdict is based.
 	Evidence string
 }
 
-// Limiter keeps the limits of workspaces.
+// Limiter enforces the rate limits of workspaces.
 type Limiter interface {
-	// Admit decides about one request; it may take a round trip to another process.
+	// Admit decides whether to admit one request. It may need a round trip to another process.
 	Admit(ctx context.Context, limit WorkspaceLimit) LimitVerdict
 }
--- a/publish.go
+++ b/publish.go
@@ -10,22 +10,21 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// ErrHistoryGone says that a source no longer knows the changes since a
-// revision; everything has to be read anew.
-var ErrHistoryGone = errors.New("the history since the revision is gone")
+// ErrHistoryGone is returned by a source that no longer has the changes since the requested
+// revision; the caller must read the full state again.
+var ErrHistoryGone = errors.New("the changes since the requested revision are no longer available")
 
-// Revision names a state of a source. Its number rises with each change. A source that was
-// restored from a copy begins the next era, in which numbers are given out again for other
-// states.
+// Revision identifies a state of a source. Number increases with each change. A source that is
+// restored from a backup starts the next era, in which numbers are reused for different states.
 type Revision struct {
 	Era    uint64 `json:"era,omitempty"`
 	Number uint64 `json:"number"`
 }
 
-// IsZero reports whether the revision names no state.
+// IsZero reports whether r is the zero revision, which identifies no state.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// After reports whether r comes after o: a later era goes before a higher number.
+// After reports whether r is later than o. The era takes precedence over the number.
 func (r Revision) After(o Revision) bool {
 	if r.Era != o.Era {
 		return r.Era > o.Era
@@ -41,39 +40,39 @@
 	return r
 }
 
-// String returns the era and the number.
+// String returns the revision in the form "era.number".
 func (r Revision) String() string { return fmt.Sprintf("%d.%d", r.Era, r.Number) }
 
-// ServerEntry is one backend server as it is published.
+// ServerEntry is one backend server as published.
 type ServerEntry struct {
-	// Name is what the server calls itself. Another start of it may take the same name.
+	// Name is the name that the server gives itself. It may be reused after a restart.
 	Name string `json:"name"`
-	// Start is when the server started, in Unix milliseconds, and tells the starts under one
-	// name apart: the higher is the newer. 0 is unknown.
+	// Start is the time at which the server started, in Unix milliseconds; 0 if unknown. It
+	// distinguishes the starts of servers with the same name: the highest is the newest.
 	Start   int64  `json:"start,omitempty"`
 	Service string `json:"service"`
-	// Address is its IP:port.
+	// Address is the server's IP:port.
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	// Release is the version of the server's software.
 	Release string `json:"release,omitempty"`
-	// Slots is how many requests it runs at once; 0 is unknown.
+	// Slots is the number of requests that the server runs concurrently; 0 if unknown.
 	Slots int `json:"slots"`
-	// Leaving servers finish their work and take no more.
+	// Leaving servers finish the requests in flight and accept no new ones.
 	Leaving bool `json:"leaving,omitempty"`
-	// Warming is how much longer the server is slow after its start.
+	// Warming is the remaining time for which the server is slow after its start.
 	Warming time.Duration `json:"warming,omitempty"`
-	// Created is the number of the source's revision at which the entry came to be: it was not there
-	// shortly before.
+	// Created is the number of the source's revision at which the entry was created: it did not
+	// exist at the revisions just before.
 	Created uint64 `json:"created,omitempty"`
 }
 
-// ID returns the identity of one start of a server: what is known of one start says
-// nothing of another.
+// ID returns the identity of one start of a server. State that is known of one start does not
+// apply to another.
 func (e ServerEntry) ID() string { return ServerID(e.Name, e.Start) }
 
-// ServerID returns the identity of a start of a server. It is the name alone where the
-// start is unknown.
+// ServerID returns the identity of one start of a server. It is the name alone if the start is
+// unknown.
 func ServerID(name string, start int64) string {
 	if start == 0 {
 		return name
@@ -81,109 +80,113 @@
 	return name + "@" + strconv.FormatInt(start, 10)
 }
 
-// ServerStart is a start of a server.
+// ServerStart identifies one start of a server.
 type ServerStart struct {
 	Name string
-	// Start is when it started (ServerEntry.Start).
+	// Start is in Unix milliseconds (see ServerEntry.Start).
 	Start int64
 }
 
 // PublishedSettings is one version of the operators' settings.
 type PublishedSettings struct {
-	// Version rises with each change; the highest is in force.
+	// Version increases with each change; the highest version is in force.
 	Version uint64
-	// Revision is the source's at which they were written.
+	// Revision is the source's revision at which the settings were written.
 	Revision Revision
 	Fleet    *slatewindv1.Fleet
 }
 
-// ServerUpdate is what a source tells of servers at one moment: everything, or
-// what changed since a revision. It is small and urgent. Settings may be large,
-// so they come by themselves, and no server's word waits for them.
+// ServerUpdate is the state of all servers at a source, or the changes since a revision.
+// Server updates are small and urgent, whereas settings may be large: settings are sent
+// separately (SettingsUpdate), so that no server update is delayed by them.
 type ServerUpdate struct {
-	// Revision is the source's up to which this tells.
+	// Revision is the source's revision up to which the update is current.
 	Revision Revision
-	// Version is that of the newest settings that the source has, where it is
+	// Version is the version of the newest settings that the source has, if the source is
 	// another process.
 	Version uint64
 	// Servers are new or changed entries.
 	Servers []ServerEntry
-	// Removed names servers whose entries are gone.
+	// Removed are the names of servers whose entries were removed.
 	Removed []string
-	// Ended are the newest known starts of servers whose entries are gone. A source that is
-	// another process tells of them, so that no older start's entry counts that comes late.
+	// Ended are the newest known starts of servers whose entries were removed. Only other
+	// processes report them, so that the receiver ignores an entry of an older start that
+	// arrives late.
 	Ended []ServerStart
-	// Complete says that Servers are all that there are.
+	// Complete reports that Servers lists all servers, not only changes.
 	Complete bool
-	// Relayed publications came from another process, From its server's address.
+	// Relayed reports that the update came from another process. From is the address of the
+	// server beside which that process runs.
 	Relayed bool
 	From    string
-	// PlatformUnreachable says that the process which has this news cannot reach the platform itself:
-	// it was told by others, and servers near it may be missing for that reason alone.
+	// PlatformUnreachable reports that the process that sent the update cannot reach the platform
+	// itself. It has the state from other processes, and servers near it may be missing only
+	// because they cannot reach the platform either.
 	PlatformUnreachable bool
-	// Age is how long ago this was the platform's state; zero is just now.
+	// Age is the time since this was the platform's state; zero means current.
 	Age time.Duration
-	// EntryErrors are entries that could not be read, each with its place.
+	// EntryErrors describe entries that could not be decoded, each with its key.
 	EntryErrors []error
 }
 
-// ServerSource reads what the platform publishes about servers.
+// ServerSource reads the entries of servers that the platform publishes.
 type ServerSource interface {
-	// Read returns all servers that are published now, as a whole publication.
+	// Read returns all servers that are currently published, as a complete update.
 	Read(ctx context.Context) (ServerUpdate, error)
-	// Changes returns at once what changed after a revision. The error is
-	// ErrHistoryGone where a new Read is due.
+	// Changes returns the changes after a revision, without waiting for one. The error is
+	// ErrHistoryGone if a new Read is required.
 	Changes(ctx context.Context, after Revision) (ServerUpdate, error)
 }
 
-// SettingsUpdate is what a source tells of settings.
+// SettingsUpdate is the result of one poll of a SettingsSource.
 type SettingsUpdate struct {
-	// Settings is nil where they did not change.
+	// Settings is nil if the settings did not change.
 	Settings *PublishedSettings
-	// Revision is the source's up to which this tells. Changes to
-	// other things count too, and a source forgets old ones, so that the next
-	// question begins here even where settings did not change.
+	// Revision is the source's revision up to which the update is current. The next poll must
+	// start here even if the settings did not change: changes to other data increase the
+	// revision too, and a source discards old changes.
 	Revision Revision
-	// Err says, with its place, that settings were written and cannot be read.
+	// Err reports, with their key, settings that were written and cannot be decoded.
 	Err error
 }
 
 // SettingsSource reads the settings that the platform publishes.
 type SettingsSource interface {
-	// Settings returns what is new as soon as settings are written at a revision
-	// above after, or when wait is over. A large answer may take longer, as long as
-	// it goes on coming.
+	// Settings is a long poll: it returns as soon as settings are written at a revision above
+	// after, or when wait expires. A large answer may take longer than wait, as long as data
+	// keeps arriving.
 	Settings(ctx context.Context, after Revision, wait time.Duration) (SettingsUpdate, error)
 }
 
-// CallerHeaders names the header fields between callers and the fleet.
+// CallerHeaders holds the names of the header fields between callers and the fleet.
 type CallerHeaders struct {
-	// RequestID is the id that the caller gave its request.
+	// RequestID is the ID that the caller gave the request.
 	RequestID string
-	// Deadline is the time in milliseconds that the caller will wait.
+	// Deadline is the time for which the caller will wait, in milliseconds.
 	Deadline string
-	// CallerService names the service on whose VM a request began.
+	// CallerService is the name of the service on whose VM the request originated.
 	CallerService string
-	// Key is the key of the caller's workspace. No server gets it.
+	// Key is the key of the caller's workspace. It is never forwarded to servers.
 	Key string
-	// Workspace tells servers the name of the caller's workspace, whatever the caller sent.
+	// Workspace is the name of the caller's workspace in requests to servers. It replaces any
+	// value that the caller sent.
 	Workspace string
 }
 
-// ServerHeaders names the header fields between the fleet and a server.
+// ServerHeaders holds the names of the header fields between the fleet and a server.
 type ServerHeaders struct {
-	// RequestID is the caller's id, in requests and answers.
+	// RequestID is the caller's request ID, in requests and answers.
 	RequestID string
-	// Deadline is the time in milliseconds that is left to the request.
+	// Deadline is the time that remains for the request, in milliseconds.
 	Deadline string
-	// Stamp proves that an answer is a server's own.
+	// Stamp proves that an answer comes from the server itself.
 	Stamp string
-	// Expect carries the identity of the only server that may run a request.
+	// Expect is the identity of the only server that may run the request.
 	Expect string
-	// NotExecuted marks an answer to a request that the server did not run.
+	// NotExecuted marks the answer to a request that the server did not run.
 	NotExecuted string
 	// Identity is the server's name in its answers.
 	Identity string
-	// Load holds requests running, requests waiting and slots.
+	// Load is the server's load: running requests, queued requests and slots.
 	Load string
 }
--- a/slatewind.go
+++ b/slatewind.go
@@ -1,14 +1,12 @@
-// Package slatewind holds what every part of the proxy fleet shares: the words
-// of its decisions, the plain structs that travel between the parts, and the
-// interfaces behind which behaviour varies.
+// Package slatewind defines the types that the packages of the proxy fleet share: enums,
+// plain structs that are passed between packages, and interfaces with several implementations.
 //
-// The idea of the fleet in a paragraph: one process runs beside the backend
-// servers of each VM. As an ingress it takes callers' requests for any service
-// and decides which server gets each one; as a sidecar it stands in front of
-// its own VM's servers and knows for certain whether a request was started.
-// Decisions are pure types in packages below this one: events and their time
-// go in, decisions with a reason come out. The daemon, the replay of traces
-// and the measurements all drive the same types.
+// One process runs beside the backend servers of each VM. As an ingress it accepts
+// callers' requests for any service and chooses the server for each one; as a sidecar it
+// proxies all requests to the servers of its own VM, so it knows whether a request was
+// started. The decision logic is in types without I/O in the packages below this one: their
+// inputs are events with their time, their outputs are decisions with a reason. The daemon,
+// the replay of traces and the measurements use the same types.
 package slatewind
 
 import (
@@ -16,35 +14,36 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind specifies how often a request may run.
 type Kind string
 
 // Kinds of request.
 const (
-	// KindRepeatable requests may be run again, elsewhere or twice at a time.
+	// KindRepeatable requests are idempotent: they may be retried on any server and run
+	// concurrently.
 	KindRepeatable Kind = "repeatable"
-	// KindOnce requests run at most once by their idempotency key.
+	// KindOnce requests run at most once per idempotency key.
 	KindOnce Kind = "once"
-	// KindSingle requests run at most once and have no key: they go to a second
-	// server only with a proof that the first did not run them.
+	// KindSingle requests run at most once and have no key: they are sent to a
+	// second server only with proof that the first did not run them.
 	KindSingle Kind = "single"
 )
 
-// Priority says who gets a slot first.
+// Priority determines the order in which requests are granted slots.
 type Priority string
 
 // Priorities of requests.
 const (
-	// PriorityInteractive is for requests that a person waits for.
+	// PriorityInteractive is for requests that a user is waiting for.
 	PriorityInteractive Priority = "interactive"
 	// PriorityBackground requests use only spare slots.
 	PriorityBackground Priority = "background"
 )
 
-// LogLevel is the least level of the lines that a process logs.
+// LogLevel is the minimum severity of the messages that a process logs.
 type LogLevel string
 
-// Levels of logs.
+// Log levels.
 const (
 	LogDebug LogLevel = "debug"
 	LogInfo  LogLevel = "info"
@@ -52,56 +51,57 @@
 	LogError LogLevel = "error"
 )
 
-// Outcome is what became of a request or of one attempt.
+// Outcome is the final result of a request or of one attempt.
 type Outcome string
 
 // Outcomes of requests.
 const (
-	// OutcomeAnswer is a server's own whole answer.
+	// OutcomeAnswer is a complete answer, verified to come from the server itself.
 	OutcomeAnswer Outcome = "answer"
-	// OutcomeNotRun is proven: no server started the attempt and none will.
+	// OutcomeNotRun guarantees that no server started the attempt and that none will.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeMismatch refuses a key that was used with another request.
+	// OutcomeMismatch rejects an idempotency key that was used with a different request.
 	OutcomeMismatch Outcome = "mismatch"
 )
 
-// Claim is what an ingress knows about earlier attempts of a once-request.
+// Claim is what an ingress knows about earlier attempts of a KindOnce request.
 type Claim string
 
-// Claims about a once-request.
+// Claims about a KindOnce request.
 const (
-	// ClaimFirst: the caller says so, or the ingress made the key itself.
+	// ClaimFirst: there were no earlier attempts, because the caller states so or because
+	// the ingress generated the key itself.
 	ClaimFirst Claim = "first"
-	// ClaimRetry: the caller says that there were earlier attempts. At a
-	// sidecar it says that every candidate was sealed and none had run it.
+	// ClaimRetry: the caller states that there were earlier attempts. Sent to a sidecar,
+	// it means that every candidate was sealed and none had run the request.
 	ClaimRetry Claim = "retry"
-	// ClaimJoin: a retry that wants the answer of a record that a candidate
-	// has; it must not run anything.
+	// ClaimJoin: a retry that requests the answer of an existing record at a candidate;
+	// it must not run the request.
 	ClaimJoin Claim = "join"
-	// ClaimUnnumbered: the caller does not say.
+	// ClaimUnnumbered: the caller does not state whether there were earlier attempts.
 	ClaimUnnumbered Claim = "unnumbered"
 )
 
-// RecordState is the state of a once-request at one sidecar.
+// RecordState is the state of a KindOnce request at one sidecar.
 type RecordState string
 
-// States of a once-request's record.
+// States of the record of a KindOnce request.
 const (
 	// RecordNone: the sidecar holds no record.
 	RecordNone RecordState = "none"
-	// RecordRunning: a server is running it now.
+	// RecordRunning: a server is running the request now.
 	RecordRunning RecordState = "running"
-	// RecordDone: it ran and its answer is stored.
+	// RecordDone: the request ran and its answer is stored.
 	RecordDone RecordState = "done"
-	// RecordLost: it was started and its answer was lost.
+	// RecordLost: the request was started and its answer was lost.
 	RecordLost RecordState = "lost"
-	// RecordRevoked: a first attempt was refused here; it did not run here and
-	// will not without a proof.
+	// RecordRevoked: a first attempt was rejected here. The request did not run here, and
+	// will not without proof that it has not run elsewhere.
 	RecordRevoked RecordState = "revoked"
-	// RecordSealed: nothing was known when a retry asked. It will not run here
-	// without a proof, but whether it did before is open.
+	// RecordSealed: there was no record when a retry queried it. The request will not run
+	// here without proof that it has not run, but it may have run here before.
 	RecordSealed RecordState = "sealed"
 )
 
@@ -110,73 +110,77 @@
 
 // Replies to a cancellation.
 const (
-	// CancelNotStarted: never started, and a tombstone refuses it from now on.
+	// CancelNotStarted: the attempt was not started, and a tombstone rejects it from now on.
 	CancelNotStarted CancelState = "not-started"
-	// CancelStarted: a server may have begun the work.
+	// CancelStarted: a server may have started the attempt.
 	CancelStarted CancelState = "started"
-	// CancelUnknown: the sidecar cannot tell.
+	// CancelUnknown: the sidecar does not know whether the attempt was started.
 	CancelUnknown CancelState = "unknown"
 )
 
-// Result classifies one request as a server dealt with it.
+// Result classifies how a server handled one request.
 type Result string
 
 // Results of single requests at a server.
 const (
-	// ResultOK is any whole answer that is not an error of the server.
+	// ResultOK is any complete answer that is not a server error.
 	ResultOK Result = "ok"
-	// ResultError is an error status, a broken answer or a refused connection.
+	// ResultError is an error status, a truncated or invalid answer, or a refused connection.
 	ResultError Result = "error"
-	// ResultOverdue is a request still unanswered long after its peers.
+	// ResultOverdue is a request that is still unanswered long after comparable requests
+	// were answered.
 	ResultOverdue Result = "overdue"
-	// ResultCancelled is a request that was given up after the stated time.
+	// ResultCancelled is a request that was cancelled after its Observation.Latency.
 	ResultCancelled Result = "cancelled"
-	// ResultProbeFailed is a failed health probe; it only raises suspicion.
+	// ResultProbeFailed is a failed health probe. It raises the suspicion of the server, but
+	// is not counted as a failed request.
 	ResultProbeFailed Result = "probe-failed"
 )
 
-// VMState is the state of a VM as the platform or its own process tells it.
+// VMState is the state of a VM as reported by the platform or by the process on the VM.
 type VMState string
 
 // States of VMs.
 const (
-	// VMLive takes new work.
+	// VMLive accepts new requests.
 	VMLive VMState = "live"
-	// VMLeaving finishes its work and takes no more.
+	// VMLeaving finishes the requests in flight and accepts no new ones.
 	VMLeaving VMState = "leaving"
-	// VMGone is known to be away.
+	// VMGone is known to have left the fleet.
 	VMGone VMState = "gone"
 )
 
-// Source says how a member is known.
+// Source specifies how a process learned of a member.
 type Source string
 
-// Sources of knowledge about a VM, weakest first.
+// Sources of information about a VM, least reliable first.
 const (
-	// SourceList is the platform's VM list, which lags.
+	// SourceList is the platform's VM list, which may be out of date.
 	SourceList Source = "list"
-	// SourceGossip is another process's word.
+	// SourceGossip is a report of another process.
 	SourceGossip Source = "gossip"
-	// SourceContact is a reply of the process itself.
+	// SourceContact is a direct reply of the process on the VM.
 	SourceContact Source = "contact"
-	// SourceSelf is this very process.
+	// SourceSelf is the local process.
 	SourceSelf Source = "self"
 )
 
-// ServerState is how an ingress treats a server.
+// ServerState is the state of a server at one ingress; it determines the traffic that the
+// ingress sends to the server.
 type ServerState string
 
-// States of servers in the eyes of one ingress.
+// States of servers.
 const (
-	// ServerHealthy gets its full share.
+	// ServerHealthy gets its full share of the traffic.
 	ServerHealthy ServerState = "healthy"
-	// ServerSuspect looks sick but the floor keeps it in service, at less weight.
+	// ServerSuspect appears unhealthy, but ejecting it would leave fewer servers than the
+	// service's floor, so it stays in service with a reduced weight.
 	ServerSuspect ServerState = "suspect"
-	// ServerEjected gets nothing.
+	// ServerEjected gets no traffic.
 	ServerEjected ServerState = "ejected"
-	// ServerTrial gets single repeatable requests to prove itself.
+	// ServerTrial gets single repeatable requests that test whether it has recovered.
 	ServerTrial ServerState = "trial"
-	// ServerRamp gets a growing share.
+	// ServerRamp gets a gradually increasing share after its recovery.
 	ServerRamp ServerState = "ramp"
 )
 
@@ -188,27 +192,27 @@
 	State       VMState `json:"state"`
 }
 
-// SettingsFile is the operators' file as the platform publishes it.
+// SettingsFile is the operators' settings file as published by the platform.
 type SettingsFile struct {
-	// Revision is the platform's at which the file was written.
+	// Revision is the platform's revision at which the file was written.
 	Revision Revision
 	// Text is the YAML text.
 	Text []byte
 }
 
-// ConfigSource reads the operators' file from the platform.
+// ConfigSource reads the operators' settings file from the platform.
 type ConfigSource interface {
-	// Watch returns the file as soon as its revision is above after, or the
-	// same file again when the platform's waiting time is over.
+	// Watch is a long poll: it returns the file as soon as its revision is above after, or
+	// the unchanged file when the platform's wait time expires.
 	Watch(ctx context.Context, after Revision) (SettingsFile, error)
 }
 
-// VMSource reads the platform's list of live and leaving VMs, which lags.
+// VMSource reads the platform's list of live and leaving VMs, which may be out of date.
 type VMSource interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
-// DecisionKind names a sort of decision in the journal.
+// DecisionKind is the kind of a decision in the journal.
 type DecisionKind string
 
 // Kinds of decision.
@@ -234,43 +238,44 @@
 	DecisionAway            DecisionKind = "away"
 	DecisionSuspicion       DecisionKind = "suspicion"
 	DecisionIdle            DecisionKind = "idle"
-	// DecisionServerError: a server's own error answer is passed on.
+	// DecisionServerError: an error answer of the server itself is passed on to the caller.
 	DecisionServerError DecisionKind = "server-error"
-	// DecisionServerEnded: a server ended while it ran a request, and nobody had planned that.
+	// DecisionServerEnded: a server exited unexpectedly while it was running a request.
 	DecisionServerEnded DecisionKind = "server-ended"
-	// DecisionQuarantine: a request is refused from now on, since servers ended under it.
+	// DecisionQuarantine: a request is rejected from now on, because servers exited while
+	// they were running it.
 	DecisionQuarantine DecisionKind = "quarantine"
 )
 
-// Decision is one entry of the journal: what was decided, about what and why.
+// Decision is one entry of the journal.
 type Decision struct {
 	Time    time.Time    `json:"time"`
 	Kind    DecisionKind `json:"kind"`
 	Service string       `json:"service,omitempty"`
 	Server  string       `json:"server,omitempty"`
-	// Request is the id that the caller got in Slatewind-Request.
+	// Request is the request ID that was returned to the caller in Slatewind-Request.
 	Request string `json:"request,omitempty"`
-	// Reason is one sentence for an operator.
+	// Reason explains the decision to an operator in one sentence.
 	Reason string `json:"reason"`
-	// Evidence holds the figures on which the decision rests.
+	// Evidence holds the figures on which the decision is based.
 	Evidence string `json:"evidence,omitempty"`
 }
 
-// Journal keeps decisions in bounded memory.
+// Journal stores decisions in bounded memory.
 type Journal interface {
 	Add(Decision)
 }
 
-// Observation is what is known of one request at one server.
+// Observation is the result of one request at one server.
 type Observation struct {
 	Server string
-	// Class separates requests that differ in cost; the route's name as a hash.
+	// Class is a hash of the route's name. It separates requests that differ in cost.
 	Class   uint8
 	Result  Result
 	Latency time.Duration
 }
 
-// MinServerErrorStatus is the first HTTP status that counts as an error of a server.
+// MinServerErrorStatus is the lowest HTTP status that counts as a server error.
 const MinServerErrorStatus = 500
 
 // Header is one header field of a request or an answer.
@@ -279,11 +284,11 @@
 	Value string
 }
 
-// Answer is a server's whole answer.
+// Answer is the complete answer of a server.
 type Answer struct {
 	Status  int
 	Headers []Header
 	Body    []byte
-	// BodyOmitted: the body was passed on without being kept.
+	// BodyOmitted reports that the body was forwarded without being stored.
 	BodyOmitted bool
 }
