--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,13 +1,11 @@
-// Package backend is the HTTP/1.1 client that a process uses for the one server
-// beside it.
+// Package backend is the HTTP/1.1 client for the one backend server beside the process.
 //
-// The standard library's client repeats requests by itself when a kept connection
-// breaks, and takes whatever comes next on a connection for the answer. Here
-// both must be known exactly: whether anything was sent decides whether a
-// request may go elsewhere, and a server may send surplus answers, which belong
-// to no request. So a connection carries one request at a time, is checked for
-// unexpected bytes before it is used again, and an answer with another request's
-// id is passed over.
+// The standard library's client retries requests by itself when a reused connection fails, and
+// accepts whatever arrives next on a connection as the answer. Here both must be known exactly:
+// whether any byte was sent determines whether a request may be sent to another server, and a
+// server may send surplus answers that belong to no request. A connection therefore carries one
+// request at a time and is checked for unexpected bytes before it is reused, and answers with the
+// ID of another request are discarded.
 package backend
 
 import (
@@ -25,55 +23,56 @@
 var Error = errs.Class("backend")
 
 var (
-	// ErrNotAnAnswer says that what came back is not an answer in the protocol.
-	ErrNotAnAnswer = Error.New("the bytes are no answer")
-	// ErrCrossed says that only answers to other requests came back.
-	ErrCrossed = Error.New("the answer belongs to another request")
-	// ErrNoStamp says that a success came without the server's proof.
-	ErrNoStamp = Error.New("a success without the server's stamp")
+	// ErrMalformedAnswer is returned if the received bytes are not a valid HTTP answer.
+	ErrMalformedAnswer = Error.New("malformed HTTP answer")
+	// ErrForeignAnswer is returned if only answers to other requests were received.
+	ErrForeignAnswer = Error.New("the answer belongs to another request")
+	// ErrNoStamp is returned for a success status without the stamp header by which a server
+	// proves that the answer is its own.
+	ErrNoStamp = Error.New("success status without the server's stamp header")
 )
 
 const (
-	// DialTimeout bounds a connect to a server on the same VM, which takes a
-	// millisecond. The server may begin to leave meanwhile, so it counts towards how
-	// late a leaving server may get a request.
+	// DialTimeout limits a connect to a server on the same VM, which takes about a millisecond.
+	// The server may start to leave in the meantime, so the timeout is part of the time for which
+	// a leaving server may still get requests.
 	DialTimeout = 200 * time.Millisecond
-	// idleTime is how long a connection is kept where the server does not say;
-	// idleMargin is taken off what it says.
-	idleTime   = 4 * time.Second
-	idleMargin = 1500 * time.Millisecond
-	// sentTime is how long an answer that was read waits until its request is seen to
-	// be sent. Usually it is; but the goroutine that sends may run a little later.
-	sentTime = 20 * time.Millisecond
-	// maxIdle is how many connections are kept at most.
+	// defaultIdleTimeout is how long an idle connection is kept if the server states no timeout;
+	// idleMargin is subtracted from the timeout that a server states.
+	defaultIdleTimeout = 4 * time.Second
+	idleMargin         = 1500 * time.Millisecond
+	// writeWait is how long Close waits until the request of a complete answer has been written.
+	// Usually it has been; but the goroutine that writes it may be scheduled a little later.
+	writeWait = 20 * time.Millisecond
+	// maxIdle is the maximum number of idle connections.
 	maxIdle = 16
-	// maxSurplus bounds the foreign answers that are passed over on one
-	// connection before it is given up.
-	maxSurplus = 3
+	// maxForeignAnswers is the number of foreign answers on one connection after which it is
+	// closed.
+	maxForeignAnswers = 3
 	// bufferBytes is the size of a connection's read buffer, in bytes.
 	bufferBytes = 4 << 10
 )
 
-// Answer is a server's answer. It must be closed; its connection is kept only if
-// its body was read to the end before.
+// Answer is a server's answer. It must be closed. Its connection is reused only if the body was
+// read to its end before.
 type Answer struct {
 	*http.Response
 	pool *Pool
 	conn *conn
-	// stop ends the watch of the request's context; it reports false if the
-	// context ended first.
+	// stop stops watching the request's context; it returns false if the context ended first.
 	stop func() bool
-	// sent is closed once the whole request is written.
-	sent <-chan struct{}
-	done bool
+	// sent is closed when the whole request has been written.
+	sent   <-chan struct{}
+	closed bool
 }
 
 // Do sends one request. sent is false only if no byte of it was written. sending, which may be
-// nil, is called before the first byte is written; unread then tells at any time whether bytes of
-// the answer wait to be read.
-// A success is returned only with the server's stamp. The error is ctx's own
-// where that ended first, ErrNotAnAnswer, ErrCrossed, ErrNoStamp, or one of the
-// network.
+// nil, is called before the first byte is written; the function passed to it reports, at any
+// time, whether bytes of the answer are waiting to be read.
+//
+// An answer with a success status is returned only if it has the server's stamp. The error wraps
+// ctx's error if ctx ended first; otherwise it is ErrMalformedAnswer, ErrForeignAnswer,
+// ErrNoStamp or a network error.
 func (p *Pool) Do(ctx context.Context, request *http.Request, sending func(unread func() bool)) (answer *Answer, sent bool, err error) {
 	c, err := p.connection(ctx)
 	if err != nil {
@@ -87,7 +86,7 @@
 	writer := &countingWriter{w: c}
 	go func() {
 		defer close(written)
-		// A failure shows as a missing answer: a server may answer early and
+		// A write error results in a missing answer, if it matters: a server may answer early and
 		// stop reading.
 		_ = request.Write(writer)
 	}()
@@ -104,7 +103,7 @@
 	return &Answer{Response: response, pool: p, conn: c, stop: stop, sent: written}, true, nil
 }
 
-// countingWriter notes whether anything was written.
+// countingWriter records whether any byte was written.
 type countingWriter struct {
 	w     io.Writer
 	wrote bool
@@ -117,22 +116,23 @@
 	return n, err
 }
 
-// readResponse reads the answer to a request and passes over others.
+// readResponse reads the answer to a request and discards interim answers and answers to other
+// requests.
 func (p *Pool) readResponse(c *conn, request *http.Request) (*http.Response, error) {
-	for range maxSurplus {
+	for range maxForeignAnswers {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, notAnAnswer(err)
+			return nil, malformedAnswer(err)
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
 		if id := response.Header.Get(p.dialect.RequestID); id != "" && id != request.Header.Get(p.dialect.RequestID) {
 			if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-				return nil, ErrCrossed
+				return nil, ErrForeignAnswer
 			}
 			if _, err := io.Copy(io.Discard, response.Body); err != nil {
-				return nil, notAnAnswer(err)
+				return nil, malformedAnswer(err)
 			}
 			continue
 		}
@@ -140,40 +140,40 @@
 			return nil, ErrNoStamp
 		}
 		if response.Header.Get("Content-Encoding") != "" {
-			return nil, errs.Combine(ErrNotAnAnswer, Error.New("an encoded body that nobody asked for"))
+			return nil, errs.Combine(ErrMalformedAnswer, Error.New("the body is encoded although no Content-Encoding was requested"))
 		}
 		return response, nil
 	}
-	return nil, ErrCrossed
+	return nil, ErrForeignAnswer
 }
 
-// notAnAnswer adds ErrNotAnAnswer to an error of the protocol; errors of the
-// network stay as they are.
-func notAnAnswer(err error) error {
+// malformedAnswer adds ErrMalformedAnswer to a protocol error. Network errors are returned
+// unchanged.
+func malformedAnswer(err error) error {
 	var network net.Error
 	if errors.As(err, &network) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	return errs.Combine(ErrNotAnAnswer, err)
+	return errs.Combine(ErrMalformedAnswer, err)
 }
 
-// Close ends the use of an answer. The connection is kept if the body was read
-// to its end and the server keeps it too.
+// Close releases the answer. Its connection is returned to the pool if the body was read to its
+// end and the server keeps the connection open, too; otherwise it is closed.
 func (a *Answer) Close() {
-	if a.done {
+	if a.closed {
 		return
 	}
-	a.done = true
+	a.closed = true
 	aborted := !a.stop()
-	if aborted || !a.mayKeep() {
+	if aborted || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
-	a.pool.keep(a.conn, a.Header)
+	a.pool.putIdle(a.conn, a.Header)
 }
 
-// mayKeep reports whether the answer's connection can carry another request.
-func (a *Answer) mayKeep() bool {
+// reusable reports whether the answer's connection can be reused for another request.
+func (a *Answer) reusable() bool {
 	if a.Response.Close || a.ContentLength < 0 && len(a.TransferEncoding) == 0 {
 		return false
 	}
@@ -184,13 +184,13 @@
 	if a.conn.reader.Buffered() > 0 {
 		return false
 	}
-	sending := time.NewTimer(sentTime)
+	sending := time.NewTimer(writeWait)
 	defer sending.Stop()
 	select {
 	case <-a.sent:
 		return true
 	case <-sending.C:
-		// The rest of the request's body would be taken for the next request.
+		// The server would take the rest of the request's body for the next request.
 		return false
 	}
 }
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -22,8 +22,8 @@
 
 var dialect = slatewind.ServerHeaders{RequestID: "Request-Id", Deadline: "Deadline-Ms", Stamp: "Server-Stamp"}
 
-// script is what a server does with the requests of one connection, in order.
-// What it writes may hold {id}, the id of the request.
+// script lists what a server sends in answer to the requests of one connection, in order. {id} is
+// replaced by the ID of the request. After "|" follows what happens to the connection.
 type script []string
 
 const (
@@ -33,14 +33,14 @@
 	hangUp  = "hang up"
 )
 
-// fakeServer plays a script for each connection and counts requests.
+// fakeServer runs one script per connection and counts requests.
 type fakeServer struct {
 	address string
 
 	mu       sync.Mutex
 	requests []string
 	conns    int
-	// ended counts connections that the server has closed.
+	// ended is the number of connections that the server has closed.
 	ended int
 }
 
@@ -58,13 +58,13 @@
 			s.mu.Lock()
 			s.conns++
 			s.mu.Unlock()
-			go s.play(conn, scripts[min(i, len(scripts)-1)])
+			go s.serve(conn, scripts[min(i, len(scripts)-1)])
 		}
 	}()
 	return s
 }
 
-func (s *fakeServer) play(conn net.Conn, steps script) {
+func (s *fakeServer) serve(conn net.Conn, steps script) {
 	defer func() {
 		_ = conn.Close()
 		s.mu.Lock()
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	// The connection stays open until the client leaves.
+	// The connection stays open until the client closes it.
 	_, _ = reader.ReadByte()
 }
 
@@ -117,27 +117,27 @@
 	return string(text), sent, err
 }
 
-// TestAnswers plays what one server may send to one request.
+// TestAnswers: the result of one request for each kind of answer that a server may send.
 func TestAnswers(t *testing.T) {
 	tests := map[string]struct {
 		step string
 		body string
 		err  string
 	}{
-		"a whole answer":                 {step: good, body: "body"},
-		"a foreign answer before it":     {step: foreign + good, body: "body"},
-		"only foreign answers":           {step: foreign + foreign + foreign, err: "another request"},
-		"a reset":                        {step: "|" + reset, err: "reset"},
-		"no answer":                      {step: "|" + hangUp, err: "EOF"},
-		"an answer that ends early":      {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nbody|" + hangUp, err: "EOF"},
-		"no length, ends in order":       {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\n\r\nbody|" + hangUp, body: "body"},
-		"no length, reset":               {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\n\r\nbody|" + reset, err: "reset"},
-		"a success without a stamp":      {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 4\r\n\r\nbody", err: "stamp"},
-		"an encoded body":                {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody", err: "encoded"},
-		"bytes that are no answer":       {step: "what is this\r\n\r\n|" + hangUp, err: "no answer"},
-		"an interim answer":              {step: "HTTP/1.1 103 Early Hints\r\n\r\n" + good, body: "body"},
-		"a failure of the server's own":  {step: "HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nContent-Length: 4\r\n\r\noops", body: "oops"},
-		"a foreign answer without a end": {step: "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nServer-Stamp: s\r\n\r\nother|" + hangUp, err: "another request"},
+		"a whole answer":                  {step: good, body: "body"},
+		"a foreign answer before it":      {step: foreign + good, body: "body"},
+		"only foreign answers":            {step: foreign + foreign + foreign, err: "another request"},
+		"a reset":                         {step: "|" + reset, err: "reset"},
+		"no answer":                       {step: "|" + hangUp, err: "EOF"},
+		"an answer that ends early":       {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nbody|" + hangUp, err: "EOF"},
+		"no length, ends in order":        {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\n\r\nbody|" + hangUp, body: "body"},
+		"no length, reset":                {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\n\r\nbody|" + reset, err: "reset"},
+		"a success without a stamp":       {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 4\r\n\r\nbody", err: "stamp"},
+		"an encoded body":                 {step: "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody", err: "encoded"},
+		"a malformed answer":              {step: "what is this\r\n\r\n|" + hangUp, err: "malformed HTTP answer"},
+		"an interim answer":               {step: "HTTP/1.1 103 Early Hints\r\n\r\n" + good, body: "body"},
+		"a failure of the server's own":   {step: "HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nContent-Length: 4\r\n\r\noops", body: "oops"},
+		"a foreign answer without an end": {step: "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nServer-Stamp: s\r\n\r\nother|" + hangUp, err: "another request"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -156,20 +156,20 @@
 	}
 }
 
-// TestConnections says on which connection the second of two requests goes.
+// TestConnections: whether the second of two requests reuses the connection of the first.
 func TestConnections(t *testing.T) {
 	tests := map[string]struct {
 		first script
 		conns int
 	}{
-		"kept":                             {script{good, good}, 1},
-		"closed by the server":             {script{good + "|" + hangUp}, 2},
-		"reset by the server":              {script{good + "|" + reset}, 2},
-		"told to close":                    {script{strings.Replace(good, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1), good}, 2},
-		"no time to rest":                  {script{strings.Replace(good, "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1), good}, 2},
-		"time to rest":                     {script{strings.Replace(good, "\r\n\r\n", "\r\nKeep-Alive: timeout=9\r\n\r\n", 1), good}, 1},
-		"a surplus answer after it":        {script{good + foreign, good}, 2},
-		"surplus bytes that are no answer": {script{good + "rest", good}, 2},
+		"kept":                      {script{good, good}, 1},
+		"closed by the server":      {script{good + "|" + hangUp}, 2},
+		"reset by the server":       {script{good + "|" + reset}, 2},
+		"Connection: close":         {script{strings.Replace(good, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1), good}, 2},
+		"short Keep-Alive timeout":  {script{strings.Replace(good, "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1), good}, 2},
+		"long Keep-Alive timeout":   {script{strings.Replace(good, "\r\n\r\n", "\r\nKeep-Alive: timeout=9\r\n\r\n", 1), good}, 1},
+		"a surplus answer after it": {script{good + foreign, good}, 2},
+		"surplus malformed bytes":   {script{good + "rest", good}, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -192,11 +192,11 @@
 	}
 }
 
-// lateEnd is a request's body whose end shows a little after its last byte, as the
-// goroutine that sends it may run a little late.
-type lateEnd struct{ io.Reader }
+// slowEOF is a request body that reports its end a little after its last byte, as if the
+// goroutine that writes it were scheduled late.
+type slowEOF struct{ io.Reader }
 
-func (l lateEnd) Read(b []byte) (int, error) {
+func (l slowEOF) Read(b []byte) (int, error) {
 	n, err := l.Reader.Read(b)
 	if errors.Is(err, io.EOF) {
 		time.Sleep(5 * time.Millisecond)
@@ -204,18 +204,16 @@
 	return n, err
 }
 
-func (lateEnd) Close() error { return nil }
+func (slowEOF) Close() error { return nil }
 
-// TestKeepsAfterQuickAnswer: a connection is kept though the answer comes before
-// the sending of the request is seen to have ended.
-//
-// TestConnections opened a second connection once in a run beside played days: the
-// goroutine that had sent the request had not run on when its answer was read.
+// TestKeepsAfterQuickAnswer: a connection is reused even if the answer was read before the
+// goroutine that writes the request has noticed the end of the request. On a loaded machine that
+// goroutine may run late, and a second connection was opened needlessly.
 func TestKeepsAfterQuickAnswer(t *testing.T) {
 	server := newFakeServer(t, script{good, good}, script{good})
 	pool := backend.NewPool(server.address, dialect)
 	request := newRequest("id-1")
-	request.Method, request.Body, request.ContentLength = http.MethodPost, lateEnd{strings.NewReader("body")}, 4
+	request.Method, request.Body, request.ContentLength = http.MethodPost, slowEOF{strings.NewReader("body")}, 4
 	answer, _, err := pool.Do(t.Context(), request, nil)
 	assert.NilError(t, err)
 	_, err = io.ReadAll(answer.Body)
@@ -234,11 +232,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("waited in vain")
+	t.Fatal("timed out")
 }
 
-// TestNothingSent: only a failure before the first byte proves that nothing was
-// sent.
+// TestNothingSent: only an error before the first byte proves that nothing was sent.
 func TestNothingSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -249,8 +246,8 @@
 	assert.Equal(t, sent, false)
 }
 
-// TestEarlyAnswer: a server that answers before it has read a long body gets no
-// other bytes where the rest of the body is due.
+// TestEarlyAnswer: if a server answers before it has read a long body, it gets no other bytes in
+// place of the rest of the body.
 func TestEarlyAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -286,10 +283,10 @@
 	answer.Close()
 	_, _, err = do(pool, "id-2")
 	assert.NilError(t, err)
-	assert.Equal(t, strings.Trim(<-got, "b"), "", "other bytes came where the body was due")
+	assert.Equal(t, strings.Trim(<-got, "b"), "", "other bytes were sent in place of the body")
 }
 
-// TestTarget: the target travels as it came.
+// TestTarget: the request target is sent unchanged.
 func TestTarget(t *testing.T) {
 	server := newFakeServer(t, script{good})
 	_, _, err := do(backend.NewPool(server.address, dialect), "id-1")
@@ -297,7 +294,7 @@
 	assert.DeepEqual(t, server.requests, []string{"GET /a//b%2Fc?x=1"})
 }
 
-// TestCancel: a request that is given up ends at once, and its connection too.
+// TestCancel: a cancelled request ends immediately, and its connection is closed.
 func TestCancel(t *testing.T) {
 	server := newFakeServer(t, script{""}, script{good})
 	pool := backend.NewPool(server.address, dialect)
@@ -315,7 +312,8 @@
 	assert.Equal(t, body, "body", "on a new connection")
 }
 
-// TestUnread: whether bytes of an answer wait to be read is told from the sending on.
+// TestUnread: from the moment of sending, unread reports whether bytes of the answer are waiting
+// to be read.
 func TestUnread(t *testing.T) {
 	const length = 1 << 20
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: s\r\nContent-Length: %d\r\n\r\n", length)
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -19,18 +19,19 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// expires is when the connection must not be used any more.
+	// expires is when the connection must no longer be used.
 	expires time.Time
 }
 
-// Pool keeps connections to one server.
+// Pool holds the connections to one server.
 type Pool struct {
 	address string
 	dialect slatewind.ServerHeaders
 
+	// mu guards the fields below.
 	mu   sync.Mutex
 	idle []*conn
-	// opened counts the connections that were ever opened.
+	// opened is the total number of connections opened.
 	opened uint64
 }
 
@@ -39,14 +40,14 @@
 	return &Pool{address: address, dialect: dialect}
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the total number of connections opened.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// CloseIdle closes the connections that no request uses.
+// CloseIdle closes the idle connections.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,14 +57,14 @@
 	p.idle = nil
 }
 
-// connection returns a kept connection or a new one.
+// connection returns an idle connection that is still usable, or a new one.
 func (p *Pool) connection(ctx context.Context) (*conn, error) {
 	for {
-		c := p.take()
+		c := p.takeIdle()
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.expires) && untouched(c.Conn) {
+		if time.Now().Before(c.expires) && nothingReceived(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -71,14 +72,14 @@
 	return p.dial(ctx)
 }
 
-// Probe returns an error where no connection to the server can be opened. One that can is kept
-// for the next request.
+// Probe returns an error if no connection to the server can be opened. Otherwise the connection
+// is kept for the next request.
 func (p *Pool) Probe(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return err
 	}
-	p.keep(c, nil)
+	p.putIdle(c, nil)
 	return nil
 }
 
@@ -95,8 +96,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferBytes)}, nil
 }
 
-// take returns the connection that was kept last, or nil.
-func (p *Pool) take() *conn {
+// takeIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) takeIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -108,9 +109,9 @@
 	return c
 }
 
-// keep puts a connection back, or closes it where enough are kept.
-func (p *Pool) keep(c *conn, header http.Header) {
-	c.expires = time.Now().Add(keepTime(header))
+// putIdle adds an idle connection to the pool, or closes it if the pool is full.
+func (p *Pool) putIdle(c *conn, header http.Header) {
+	c.expires = time.Now().Add(idleTimeout(header))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) >= maxIdle {
@@ -120,8 +121,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// keepTime returns how long a connection may rest, by the server's Keep-Alive.
-func keepTime(header http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle, by the server's Keep-Alive header.
+func idleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
@@ -131,12 +132,13 @@
 			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return idleTime
+	return defaultIdleTimeout
 }
 
-// unread reports whether bytes wait to be read on a connection, also while it is read from.
+// unread reports whether bytes are waiting to be read on a connection. It may be called during a
+// read.
 func unread(c net.Conn) bool {
-	control := controlOf(c)
+	control := rawConn(c)
 	if control == nil {
 		return false
 	}
@@ -148,10 +150,10 @@
 	return err == nil && waiting > 0
 }
 
-// untouched reports whether nothing arrived on an idle connection, neither
-// bytes, which would belong to no request, nor its end.
-func untouched(c net.Conn) bool {
-	control := controlOf(c)
+// nothingReceived reports whether nothing has arrived on an idle connection: neither bytes, which
+// would belong to no request, nor the end of the stream.
+func nothingReceived(c net.Conn) bool {
+	control := rawConn(c)
 	if control == nil {
 		return false
 	}
@@ -165,8 +167,8 @@
 	return err == nil && quiet
 }
 
-// controlOf returns what reaches the socket of a connection, or nil where it is closed.
-func controlOf(c net.Conn) syscall.RawConn {
+// rawConn returns the raw connection for access to the socket, or nil if it is closed.
+func rawConn(c net.Conn) syscall.RawConn {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
