--- a/timer/clock_test.go
+++ b/timer/clock_test.go
@@ -9,8 +9,8 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestClockCountsSuspension: the time between two moments holds that in which the VM was
-// suspended, to the millisecond, however short it was.
+// TestClockCountsSuspension: the time between two instants includes the time during which the VM
+// was suspended, to the millisecond, however short that was.
 func TestClockCountsSuspension(t *testing.T) {
 	var suspended time.Duration
 	clock := timer.Clock{Suspension: func() time.Duration { return suspended }}
@@ -24,8 +24,9 @@
 	assert.Assert(t, clock.Now().After(began.Add(4*time.Second)))
 }
 
-// TestClockOfTheMachine: the machine's clocks can be read, and running is no suspension.
-func TestClockOfTheMachine(t *testing.T) {
+// TestMachineClock: the machine's clocks can be read, and no suspension is reported while
+// the VM runs.
+func TestMachineClock(t *testing.T) {
 	var clock timer.Clock
 	before := clock.Suspended()
 	time.Sleep(20 * time.Millisecond)
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,8 +1,7 @@
-// Package timer is the one place from which parts of a process learn that time
-// has passed. A part subscribes with an interval and a context; each tick
-// tells it the time and how long the process was away. A process that was
-// paused, or whose VM was suspended, sees a jump between two ticks; whoever
-// holds a view of the world then knows that it has to be rebuilt.
+// Package timer calls the parts of a process periodically. A part subscribes with an interval and
+// a context; each tick passes the time and how long the process did not run. After the process
+// was paused or its VM was suspended there is a gap between two ticks; parts that hold state
+// about other processes must then treat it as outdated.
 package timer
 
 import (
@@ -10,19 +9,19 @@
 	"time"
 )
 
-// slack is how late a tick may come before it counts as an absence. A loaded
-// VM delays ticks by some hundred milliseconds; a pause that matters to views
-// of the fleet lasts seconds.
-const slack = 2 * time.Second
+// minPause is how late a tick may be before the delay counts as a pause. A loaded VM delays ticks
+// by some hundred milliseconds; a pause that makes the state about the fleet outdated lasts
+// seconds.
+const minPause = 2 * time.Second
 
-// Tick is one call of a subscriber.
+// Tick is the argument of one call of a subscriber.
 type Tick struct {
 	Now time.Time
 	// Away is how long the process did not run; zero for an ordinary tick.
 	Away time.Duration
 }
 
-// Service hands out ticks.
+// Service calls its subscribers periodically.
 type Service struct{ clock Clock }
 
 // New returns a timer service.
@@ -30,8 +29,8 @@
 	return &Service{}
 }
 
-// Subscribe calls handle each interval until ctx ends. It returns at once; the
-// calls come from one goroutine for each subscription, one after the other.
+// Subscribe calls handle at every interval until ctx ends. It returns immediately; the calls of
+// one subscription are made one after the other from one goroutine.
 func (s *Service) Subscribe(ctx context.Context, interval time.Duration, handle func(Tick)) {
 	ticker := time.NewTicker(interval)
 	last, suspended := time.Now(), s.clock.Suspended()
@@ -43,24 +42,24 @@
 				return
 			case <-ticker.C:
 				now, since := time.Now(), s.clock.Suspended()
-				handle(Tick{Now: now, Away: max(Absence(last, now, interval), since-suspended)})
+				handle(Tick{Now: now, Away: max(PauseBetween(last, now, interval), since-suspended)})
 				last, suspended = now, since
 			}
 		}
 	}()
 }
 
-// Absence returns how long a process was away between two ticks that should be
-// an interval apart. The wall clock is asked too, since the monotonic clock of
-// a suspended VM stands still.
-func Absence(last, now time.Time, interval time.Duration) time.Duration {
+// PauseBetween returns how long a process did not run between two ticks that should be one interval
+// apart. It also considers the wall clock, since the monotonic clock stops while the VM is
+// suspended.
+func PauseBetween(last, now time.Time, interval time.Duration) time.Duration {
 	passed := now.Sub(last)
 	wall := now.Round(0).Sub(last.Round(0))
 	if wall > passed {
 		passed = wall
 	}
 	late := passed - interval
-	if late < slack {
+	if late < minPause {
 		return 0
 	}
 	return late
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -18,7 +18,7 @@
 		timer.New().Subscribe(ctx, time.Second, func(tick timer.Tick) {
 			ticks = append(ticks, tick)
 			if len(ticks) == 2 {
-				// The subscriber itself is held up, as by a pause.
+				// The subscriber itself is delayed, as it would be by a pause.
 				time.Sleep(10 * time.Second)
 			}
 		})
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestAbsence(t *testing.T) {
+func TestPauseBetween(t *testing.T) {
 	start := time.Now()
 	tests := map[string]struct {
 		now  time.Time
@@ -52,7 +52,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, timer.Absence(start, tt.now, time.Second), tt.away)
+			assert.Equal(t, timer.PauseBetween(start, tt.now, time.Second), tt.away)
 		})
 	}
 }
