--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -13,23 +13,24 @@
 
 var began = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestAdmit: what a stop with six seconds of grace takes.
+// TestAdmit: the requests that a shutdown with a grace period of six seconds accepts.
 func TestAdmit(t *testing.T) {
 	course := drain.Course{Began: began, Grace: 6 * time.Second}
 	const long = time.Minute
 	tests := map[string]struct {
 		after time.Duration
-		// remaining is the time that the request has left.
+		// remaining is the time until the request's deadline.
 		request   drain.Request
 		remaining time.Duration
 		taken     bool
-		// bounded is the time that it gets where that is less than remaining.
+		// bounded is the time until the deadline that it is given, if that is less than
+		// remaining.
 		bounded time.Duration
 	}{
 		"a quick request at once":                {after: 0, request: drain.Request{Expected: time.Second}, remaining: long, taken: true},
 		"one that can't be finished":             {after: 0, request: drain.Request{Expected: 5100 * time.Millisecond}, remaining: long},
 		"one that can just be finished":          {after: 2 * time.Second, request: drain.Request{Expected: 3 * time.Second}, remaining: long, taken: true},
-		"one that comes too late for that":       {after: 2100 * time.Millisecond, request: drain.Request{Expected: 3 * time.Second}, remaining: long},
+		"one that arrives too late for that":     {after: 2100 * time.Millisecond, request: drain.Request{Expected: 3 * time.Second}, remaining: long},
 		"a quick request after the notice":       {after: 2200 * time.Millisecond, request: drain.Request{Expected: time.Millisecond}, remaining: time.Second},
 		"a call after the notice":                {after: 2900 * time.Millisecond, request: drain.Request{Call: true, Expected: time.Second}, remaining: long, taken: true},
 		"a late call, short of time":             {after: 3100 * time.Millisecond, request: drain.Request{Call: true, Expected: time.Second}, remaining: 1500 * time.Millisecond, taken: true},
@@ -52,24 +53,26 @@
 	}
 }
 
-// excused is how long after its SIGTERM a process may take a request that it may give up in
-// the last sixth of the grace time, by the operators' rules.
-const excused = 3 * time.Second
+// mayAbandon is the time from SIGTERM during which the operators allow a process to accept requests
+// that it may abandon in the last sixth of the grace period.
+const mayAbandon = 3 * time.Second
 
-// job is one request in a simulated stop, with what came of it.
+// job is one request in a simulated shutdown, with its result.
 type job struct {
 	drain.Request
-	// arrives, searches and works are from the SIGTERM, for the search, and for the work.
+	// arrives is relative to SIGTERM; searches is the duration of the search for a server, works
+	// the service time.
 	arrives, searches, works time.Duration
 
 	sent, ended time.Time
 	refused     bool
-	// givenUp says that the stop answered it while a server worked on it.
-	givenUp bool
+	// abandoned reports that the shutdown sent a final reply while a server was still working on
+	// it.
+	abandoned bool
 }
 
-// play takes a job through a stop as the processes do.
-func (j *job) play(c drain.Course) {
+// simulate simulates a request during a shutdown, in the same steps as the processes.
+func (j *job) simulate(c drain.Course) {
 	now := began.Add(j.arrives)
 	if j.arrives >= 0 {
 		deadline, taken := c.Admit(now, j.Request)
@@ -85,19 +88,20 @@
 		return
 	}
 	j.sent = now
-	// A server ends a request at the deadline that it is handed.
+	// A server ends a request at the deadline that it is given.
 	j.ended = now.Add(j.works)
 	if j.ended.After(j.Deadline) {
 		j.ended = j.Deadline
 	}
 	if j.ended.After(c.WorkEnds()) {
-		j.ended, j.givenUp = c.WorkEnds(), true
+		j.ended, j.abandoned = c.WorkEnds(), true
 	}
 }
 
-// TestCourse: whatever comes during a stop, nothing that was sent is given up before the
-// last sixth of the grace time, nor at all if it came later than the operators excuse; and
-// the process ends by itself, as soon as it is idle once callers had time to hear of it.
+// TestCourse: whatever requests arrive during a shutdown, none that was sent to a server is
+// abandoned before the last sixth of the grace period, nor at all if it arrived later than the
+// operators allow for. The process exits by itself, as soon as it is idle after callers had time
+// to notice the shutdown.
 func TestCourse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string, low, high time.Duration) time.Duration {
@@ -111,19 +115,19 @@
 				works: span("works", 5*time.Millisecond, 3*c.Grace),
 			}
 			j.Call = rapid.Bool().Draw(t, "call")
-			// What was expected has nothing to do with how long it takes.
+			// The expected service time is independent of the actual one.
 			j.Expected = span("expected", 0, c.Grace)
 			j.Deadline = began.Add(j.arrives + span("time", 5*time.Millisecond, 3*c.Grace))
-			j.play(c)
+			j.simulate(c)
 			if j.refused {
 				continue
 			}
-			if j.givenUp {
+			if j.abandoned {
 				if j.ended.Sub(began) < c.Grace*5/6 {
-					t.Fatalf("given up after %s of %s", j.ended.Sub(began), c.Grace)
+					t.Fatalf("abandoned after %s of %s", j.ended.Sub(began), c.Grace)
 				}
-				if j.arrives > excused {
-					t.Fatalf("came after %s of %s and was given up", j.arrives, c.Grace)
+				if j.arrives > mayAbandon {
+					t.Fatalf("arrived after %s of %s and was abandoned", j.arrives, c.Grace)
 				}
 			}
 			if j.ended.After(last) {
@@ -134,9 +138,9 @@
 		for ; !c.Over(end, !end.Before(last)); end = end.Add(20 * time.Millisecond) {
 		}
 		if took := end.Sub(began); took >= c.Grace*93/100 || took < 0 {
-			t.Fatalf("the stop took %s of %s", took, c.Grace)
+			t.Fatalf("the shutdown took %s of %s", took, c.Grace)
 		}
-		if idle := maxTime(last, c.Closes()); end.Sub(idle) > 20*time.Millisecond {
+		if idle := maxTime(last, c.AdmissionEnds()); end.Sub(idle) > 20*time.Millisecond {
 			t.Fatalf("the process was idle %s before its end", end.Sub(idle))
 		}
 	})
@@ -149,7 +153,8 @@
 	return b
 }
 
-// TestBackIn: callers that are refused are told when the next process is likely to be ready.
+// TestBackIn: refused callers get the time after which the successor process is likely to be
+// ready.
 func TestBackIn(t *testing.T) {
 	course := drain.Course{Began: began, Grace: 6 * time.Second}
 	tests := map[string]struct {
@@ -167,12 +172,12 @@
 	}
 }
 
-// TestGivesSlots: the server beside the process gets work until the stop closes, and again
-// while something from before holds the process for longer.
-func TestGivesSlots(t *testing.T) {
+// TestGrantsSlot: the server beside the process gets requests until admission closes, and
+// afterwards while requests from before the close delay the exit.
+func TestGrantsSlot(t *testing.T) {
 	course := drain.Course{Began: began, Grace: 6 * time.Second}
 	const mean = 400 * time.Millisecond
-	// usual is what a request is expected to take at most servers.
+	// usual is the expected service time of a request at most servers.
 	const usual = 3 * mean / 2
 	tests := map[string]struct {
 		after    time.Duration
@@ -195,7 +200,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			work := drain.Work{Held: test.held, Mean: mean}
-			assert.Equal(t, course.GivesSlots(began.Add(test.after), test.expected, work), test.gives)
+			assert.Equal(t, course.GrantsSlot(began.Add(test.after), test.expected, work), test.gives)
 		})
 	}
 }
--- a/inbound/answer.go
+++ b/inbound/answer.go
@@ -20,14 +20,14 @@
 	"slatewind.example/slatewind/link"
 )
 
-// pass gives the server's answer to the sender.
-func (u *use) pass(ctx context.Context, answer *backend.Answer) error {
-	u.learnSlots(answer.Header.Get(u.in.server.Dialect.Load))
+// forwardAnswer forwards the server's answer to the sender.
+func (u *use) forwardAnswer(ctx context.Context, answer *backend.Answer) error {
+	u.updateSlots(answer.Header.Get(u.in.server.Dialect.Load))
 	if answer.Header.Get(u.in.server.Dialect.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
 		return u.notExecuted(answer)
 	}
-	// An answer that breaks off while it is still held is a plain failure and
-	// not half an answer, since its head was not sent yet.
+	// If the server's answer is truncated while it is still buffered here, the request counts as
+	// failed: nothing of the answer has been sent yet.
 	body, err := io.ReadAll(io.LimitReader(answer.Body, link.MaxHeld+1))
 	if err != nil {
 		return u.fail(ctx, true, err)
@@ -35,33 +35,33 @@
 	head := &slatewindv1.AnswerHead{Status: int32(answer.StatusCode), Headers: link.AllHeaders(answer.Header)}
 	if len(body) <= link.MaxHeld {
 		answer.Close()
-		u.answered(answer.StatusCode)
+		u.completed(answer.StatusCode)
 		return u.sendAnswer(head, body, nil)
 	}
 	if err := u.sendAnswer(head, body, answer.Body); err != nil {
 		result := breaker.ResultBroken
 		if ctx.Err() != nil || u.stream.Context().Err() != nil {
-			// The sender left; that says nothing of the server.
+			// The sender cancelled; that is no evidence about the server.
 			result = breaker.ResultNone
 		}
-		u.end(result, "a long answer broke off")
-		return errors.Join(errBrokenOff, err)
+		u.endRun(result, "a long answer broke off")
+		return errors.Join(errTruncated, err)
 	}
-	u.answered(answer.StatusCode)
+	u.completed(answer.StatusCode)
 	return nil
 }
 
-// answered ends a run with the server's whole answer. What it answers, be it with an error, does
-// not end it.
-func (u *use) answered(status int) {
-	u.end(resultOf(status), "an error answer")
+// completed ends a run whose complete answer was received. Any answer, an error included, shows
+// that the server did not exit while it ran the request.
+func (u *use) completed(status int) {
+	u.endRun(resultOf(status), "an error answer")
 	u.in.suspects.Answered(time.Now(), u.digest())
 }
 
-// errBrokenOff ends a reply whose answer broke off.
-var errBrokenOff = Error.New("the answer broke off")
+// errTruncated ends a reply whose answer was truncated after its head had been sent.
+var errTruncated = Error.New("the answer broke off")
 
-// notExecuted ends a request that the server says it did not run.
+// notExecuted ends a request that the server states it did not execute.
 func (u *use) notExecuted(answer *backend.Answer) error {
 	result := breaker.ResultShed
 	reason := "the server rejected it with status " + strconv.Itoa(answer.StatusCode)
@@ -69,7 +69,7 @@
 		result = breaker.ResultNone
 		u.in.mu.Lock()
 		if name := answer.Header.Get(u.in.server.Dialect.Identity); name != "" {
-			u.in.rename(time.Now(), name, 0)
+			u.in.setIdentity(time.Now(), name, 0)
 		}
 		u.in.mu.Unlock()
 	}
@@ -77,31 +77,31 @@
 		result = breaker.ResultNone
 	}
 	answer.Close()
-	u.end(result, reason)
+	u.endRun(result, reason)
 	return u.sendFailure(slatewind.OutcomeNotRun, reason, nil)
 }
 
-// A load report has three figures: requests running, requests waiting, slots
+// A load report has three fields: running requests, queued requests, slots
 // (slatewind.ServerHeaders).
 const (
-	loadFigures = 3
-	slotsFigure = 2
+	loadReportFields = 3
+	loadReportSlots  = 2
 )
 
-// learnSlots takes the number of slots from a load report.
-func (u *use) learnSlots(report string) {
+// updateSlots updates the number of slots from a load report. A malformed report is ignored.
+func (u *use) updateSlots(report string) {
 	parts := strings.Split(report, ",")
-	if len(parts) != loadFigures {
+	if len(parts) != loadReportFields {
 		return
 	}
-	if slots, err := strconv.Atoi(strings.TrimSpace(parts[slotsFigure])); err == nil {
+	if slots, err := strconv.Atoi(strings.TrimSpace(parts[loadReportSlots])); err == nil {
 		u.in.mu.Lock()
 		u.in.setSlots(slots)
 		u.in.mu.Unlock()
 	}
 }
 
-// resultOf returns what an answer's status says of the server.
+// resultOf classifies the status of a complete answer.
 func resultOf(status int) breaker.Result {
 	if status >= slatewind.MinServerErrorStatus {
 		return breaker.ResultError
@@ -109,8 +109,9 @@
 	return breaker.ResultOK
 }
 
-// sendAnswer sends head, chunks and end: first the held part of the body, then
-// the rest, which may be nil. A body that breaks off gets no end.
+// sendAnswer sends the head, the chunks of the body and the end. The body consists of the
+// buffered part followed by rest, which may be nil. A truncated body is sent without an end, so
+// that the receiver detects it.
 func (u *use) sendAnswer(head *slatewindv1.AnswerHead, held []byte, rest io.Reader) error {
 	if err := u.send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Head{Head: head}}); err != nil {
 		return err
@@ -131,10 +132,10 @@
 	}}})
 }
 
-// onlyReader hides WriteTo, so that copies are made in chunks.
+// onlyReader hides WriteTo, so that io.CopyBuffer copies in chunks.
 type onlyReader struct{ io.Reader }
 
-// chunkSender sends what is written to it and keeps length and checksum.
+// chunkSender sends the bytes written to it as chunks and computes their length and checksum.
 type chunkSender struct {
 	use    *use
 	sum    *xxhash.Digest
--- a/inbound/calls.go
+++ b/inbound/calls.go
@@ -7,37 +7,37 @@
 	"slatewind.example/slatewind"
 )
 
-// parent is a request that the server runs, with the calls that it has made for
-// it. A server whose call failed answers with an error although it is well: the
-// fault is the called service's, and the process beside that one sees it. The
-// time in which a call is awaited does not count as the server's own either.
+// parent is a request that the server is running, with the state of its nested calls. A healthy
+// server answers with an error if one of its nested calls failed; the called service is at fault
+// then, and the sidecar of the called server records the failure. The time spent waiting for
+// nested calls does not count as the server's own time either.
 type parent struct {
 	item   string
 	repeat bool
-	// workspace is that of the request.
+	// workspace is the workspace of the request.
 	workspace string
-	// open counts the calls that are under way, failed those that ended badly.
-	open   int
-	failed int
+	// pending is the number of nested calls in progress, failed the number that failed.
+	pending int
+	failed  int
 }
 
-// blameless reports whether an error answer may be due to a call.
-func (p *parent) blameless() bool { return p.open > 0 || p.failed > 0 }
+// mayBeCallError reports whether an error answer may be caused by a nested call.
+func (p *parent) mayBeCallError() bool { return p.pending > 0 || p.failed > 0 }
 
-// begin notes that the server gets a request. The lock is not held.
-func (in *Inbound) begin(id string, p *parent) {
+// beginRun records that the server gets a request. It locks in.mu.
+func (in *Inbound) beginRun(id string, p *parent) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.idle.end(time.Now())
+	in.idle.reset(time.Now())
 	if id != "" {
 		in.parents[id] = p
 	}
 }
 
-// NestedCall implements slatewind.NestedCalls. A call is known by its id, which is that of the
-// request that the server runs, a separator and something more. Where servers
-// form the ids of their calls in another way, none is recognised: then calls are
-// requests like any other, and each error answer counts against its server.
+// NestedCall implements slatewind.NestedCalls. A nested call is identified by its ID: the ID of a
+// running request, extended by a separator and further characters. Nested calls of servers that
+// construct the IDs differently are not identified. They are treated like any other request, and
+// every error answer counts against the server that made the call.
 func (in *Inbound) NestedCall(id string) (slatewind.NestedCall, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -45,14 +45,14 @@
 	if p == nil {
 		return slatewind.NestedCall{}, false
 	}
-	p.open++
+	p.pending++
 	now := time.Now()
-	in.judge(now).Pause(now, p.item)
+	in.currentBreaker(now).Pause(now, p.item)
 	return slatewind.NestedCall{Repeat: p.repeat, Workspace: p.workspace, End: func(served bool) { in.endCall(p, served) }}, true
 }
 
-// parentOf returns the running request with the longest id that a call's id
-// extends, or nil. The lock is held.
+// parentOf returns the running request with the longest ID of which id is an extension, or nil.
+// in.mu must be held.
 func (in *Inbound) parentOf(id string) *parent {
 	for end := len(id); end > 0; {
 		separator, width := utf8.DecodeLastRuneInString(id[:end])
@@ -64,16 +64,16 @@
 	return nil
 }
 
-// endCall notes the end of a call.
+// endCall records the end of a nested call.
 func (in *Inbound) endCall(p *parent, served bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	p.open--
+	p.pending--
 	if !served {
 		p.failed++
 	}
-	if p.open == 0 {
+	if p.pending == 0 {
 		now := time.Now()
-		in.judge(now).Resume(now, p.item)
+		in.currentBreaker(now).Resume(now, p.item)
 	}
 }
--- a/inbound/calls_test.go
+++ b/inbound/calls_test.go
@@ -11,34 +11,33 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// TestBlameFollowsTheCall: two requests of a server end with an error while it
-// makes calls for them; what the calls came to decides whether the errors count
-// against the server.
-func TestBlameFollowsTheCall(t *testing.T) {
+// TestErrorDuringNestedCall: two requests of a server end with an error while it makes nested calls
+// for them. The results of the calls decide whether the errors count against the server.
+func TestErrorDuringNestedCall(t *testing.T) {
 	tests := map[string]struct {
-		// calls are the ids of the calls, served says how they end; one that is
-		// left open has not ended when its request does.
+		// calls are the IDs of the nested calls, served is their result; with open set they are
+		// still in progress when their request ends.
 		calls  []string
 		served bool
 		open   bool
 		state  breaker.State
 	}{
-		"no call":                      {nil, true, false, breaker.StateOpen},
-		"calls that were served":       {[]string{"a.1", "b.1"}, true, false, breaker.StateOpen},
-		"calls that failed":            {[]string{"a.1", "b.1"}, false, false, breaker.StateClosed},
-		"calls that are awaited":       {[]string{"a.1", "b.1"}, true, true, breaker.StateClosed},
-		"one failed, one had no call":  {[]string{"a.1"}, false, false, breaker.StateClosed},
-		"calls of calls":               {[]string{"a.1.2", "b.1.2"}, false, false, breaker.StateClosed},
-		"ids that only begin alike":    {[]string{"a1", "b1"}, false, false, breaker.StateOpen},
-		"ids of requests from callers": {[]string{"c.1", "d.1"}, false, false, breaker.StateOpen},
+		"no call":                       {nil, true, false, breaker.StateOpen},
+		"calls that were served":        {[]string{"a.1", "b.1"}, true, false, breaker.StateOpen},
+		"calls that failed":             {[]string{"a.1", "b.1"}, false, false, breaker.StateClosed},
+		"calls in progress":             {[]string{"a.1", "b.1"}, true, true, breaker.StateClosed},
+		"one failed, one had no call":   {[]string{"a.1"}, false, false, breaker.StateClosed},
+		"nested calls of nested calls":  {[]string{"a.1.2", "b.1.2"}, false, false, breaker.StateClosed},
+		"ids with only a common prefix": {[]string{"a1", "b1"}, false, false, breaker.StateOpen},
+		"ids of requests from callers":  {[]string{"c.1", "d.1"}, false, false, breaker.StateOpen},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newPlace(t)
+			p := newFixture(t)
 			p.server.SetMode(standin.StampedHeldError)
-			words := make(chan string, slots)
+			results := make(chan string, slots)
 			for _, id := range []string{"a", "b"} {
-				go func() { words <- p.run(reservation(), id) }()
+				go func() { results <- p.run(reservation(), id) }()
 			}
 			for p.server.Arrivals() < slots {
 				time.Sleep(time.Millisecond)
@@ -51,16 +50,17 @@
 			}
 			p.server.SetMode(standin.StampedOK)
 			for range slots {
-				assert.Assert(t, <-words != "")
+				assert.Assert(t, <-results != "")
 			}
 			assert.Equal(t, p.View().Breaker, test.state)
 		})
 	}
 }
 
-// TestCallsOfEndedRequests: a request that is over has no calls.
-func TestCallsOfEndedRequests(t *testing.T) {
-	p := newPlace(t)
+// TestNestedCallOfEndedRequest: IDs that extend that of a finished request, or of one that was not
+// sent, are not nested calls.
+func TestNestedCallOfEndedRequest(t *testing.T) {
+	p := newFixture(t)
 	assert.Equal(t, p.run(reservation(), "a"), "200 s-1 /x b")
 	_, known := p.NestedCall("a.1")
 	assert.Assert(t, !known)
--- a/inbound/crash_test.go
+++ b/inbound/crash_test.go
@@ -16,36 +16,36 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// newMortal returns a place whose server ends under all requests while it is deadly, and the
+// newCrashingFixture returns a fixture whose server exits on every request if it is deadly, and the
 // journal of its process.
-func newMortal(t *testing.T, deadly bool) (*place, *history.Journal) {
+func newCrashingFixture(t *testing.T, deadly bool) (*fixture, *history.Journal) {
 	server := standin.NewStamped("s-1", platform.Servers())
 	crasher, err := standin.NewCrasher("127.0.0.1:0", server, func(*http.Request) bool { return deadly }, time.Hour)
 	assert.NilError(t, err)
 	t.Cleanup(crasher.Close)
 	journal := history.New(0, nil)
-	p := &place{server: server, Inbound: inbound.New(inbound.Server{Service: "svc", Address: crasher.Address(), Dialect: platform.Servers()}, bounds, journal, quarantine.NewTable(nil, nil))}
+	p := &fixture{server: server, Inbound: inbound.New(inbound.Server{Service: "svc", Address: crasher.Address(), Dialect: platform.Servers()}, bounds, journal, quarantine.NewTable(nil, nil))}
 	t.Cleanup(p.Close)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
 	return p, journal
 }
 
-// TestServerEndIsTold: an end of the server under a request is written down with the request's
-// digest, and what only looks alike at the connection is not.
-func TestServerEndIsTold(t *testing.T) {
+// TestServerExitIsRecorded: an exit of the server while it runs a request is recorded with the
+// request's digest. Failures that look similar on the connection are not.
+func TestServerExitIsRecorded(t *testing.T) {
 	tests := map[string]struct {
 		deadly bool
-		before func(p *place)
+		before func(p *fixture)
 		lines  int
 	}{
-		"the server ends":           {true, func(*place) {}, 1},
-		"a reset":                   {false, func(p *place) { p.server.SetMode(standin.StampedReset) }, 0},
-		"an answer that breaks off": {false, func(p *place) { p.server.SetMode(standin.StampedCut) }, 0},
-		"an error":                  {false, func(p *place) { p.server.SetMode(standin.StampedError) }, 0},
+		"the server exits":   {true, func(*fixture) {}, 1},
+		"a reset":            {false, func(p *fixture) { p.server.SetMode(standin.StampedReset) }, 0},
+		"a truncated answer": {false, func(p *fixture) { p.server.SetMode(standin.StampedCut) }, 0},
+		"an error":           {false, func(p *fixture) { p.server.SetMode(standin.StampedError) }, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p, journal := newMortal(t, test.deadly)
+			p, journal := newCrashingFixture(t, test.deadly)
 			test.before(p)
 			p.run(reservation(), "id")
 			var lines []string
--- a/inbound/entry.go
+++ b/inbound/entry.go
@@ -6,58 +6,61 @@
 	"slatewind.example/slatewind"
 )
 
-// Published takes the server's entry as it is published.
+// Published applies the entry of a server at this address, as published by the platform.
 func (in *Inbound) Published(now time.Time, entry *slatewind.ServerEntry) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.published(now, entry)
 }
 
-// published is Published with the lock held.
+// published is Published with in.mu held.
 func (in *Inbound) published(now time.Time, entry *slatewind.ServerEntry) {
-	if entry.Start < in.start && !in.gone {
+	if entry.Start < in.start && !in.entryRemoved {
 		if entry.Name != in.name {
-			in.overtaken = entry
+			in.olderEntry = entry
 		}
 		return
 	}
 	if entry.Service != in.server.Service && in.start != 0 {
-		in.leave(now, "a server of service "+entry.Service+" runs at its address")
+		in.startLeaving(now, "a server of service "+entry.Service+" is running at its address")
 		return
 	}
-	in.gone = false
-	in.rename(now, entry.Name, entry.Start)
+	in.entryRemoved = false
+	in.setIdentity(now, entry.Name, entry.Start)
 	if entry.Leaving {
-		in.leave(now, "its entry says so")
+		in.startLeaving(now, "its entry is marked as leaving")
 		return
 	}
-	in.away = ""
+	in.leavingReason = ""
 	in.setSlots(entry.Slots)
 	in.deliver(in.slots.Advance(now))
 }
 
-// Gone says that the entry of a server is published no more.
+// Gone records that the entry of the named server was removed. The server counts as leaving from
+// then on.
 func (in *Inbound) Gone(now time.Time, name string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.overtaken != nil && in.overtaken.Name == name {
-		in.overtaken = nil
+	if in.olderEntry != nil && in.olderEntry.Name == name {
+		in.olderEntry = nil
 	}
 	if name != in.name {
 		return
 	}
-	in.gone = true
-	in.leave(now, "its entry is gone")
-	if next := in.overtaken; next != nil {
-		// The clocks of VMs differ: it may have started later after all.
-		in.overtaken = nil
+	in.entryRemoved = true
+	in.startLeaving(now, "its entry was removed")
+	if next := in.olderEntry; next != nil {
+		// The clocks of VMs differ, so this server may have started later in spite of its smaller
+		// start time.
+		in.olderEntry = nil
 		in.published(now, next)
 	}
 }
 
-// rename notes which start of the server runs here. All that is known of an older one is
-// forgotten: its breaker, the slots that its requests hold and its connections.
-func (in *Inbound) rename(now time.Time, name string, start int64) {
+// setIdentity records which start of which server is running here. State about the previous start
+// is discarded: the breaker, the slots held by its requests and the idle connections. in.mu must
+// be held.
+func (in *Inbound) setIdentity(now time.Time, name string, start int64) {
 	before, after := slatewind.ServerID(in.name, in.start), slatewind.ServerID(name, start)
 	if before == after {
 		return
--- a/inbound/extra_test.go
+++ b/inbound/extra_test.go
@@ -13,27 +13,28 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// TestRequestsEarnAtOnce: requests earn extra arrivals when they come to the first server
-// that is asked, before any of them has arrived; what callers did not send earns none.
-func TestRequestsEarnAtOnce(t *testing.T) {
+// TestFirstAttemptsEarnBudget: requests credit the budget of extra attempts when they arrive at
+// the first server that is asked, before any of them is sent to it. Nested calls, requests for
+// other services and requests that asked another server first credit nothing.
+func TestFirstAttemptsEarnBudget(t *testing.T) {
 	const many = 8
 	tests := map[string]struct {
 		slots int
 		come  func(r *slatewindv1.Reservation)
 		earn  bool
 	}{
-		"requests that got a slot":     {2 * many, func(r *slatewindv1.Reservation) { r.First = true }, true},
-		"requests that wait for one":   {1, func(r *slatewindv1.Reservation) { r.First = true }, true},
-		"requests that are refused":    {1, func(r *slatewindv1.Reservation) { r.First, r.PatienceMs = true, 0 }, true},
-		"asked elsewhere before":       {2 * many, func(*slatewindv1.Reservation) {}, false},
-		"calls of servers":             {2 * many, func(r *slatewindv1.Reservation) { r.First, r.Begun = true, true }, false},
-		"requests for another service": {2 * many, func(r *slatewindv1.Reservation) { r.First, r.Service = true, "another" }, false},
+		"requests that got a slot":                 {2 * many, func(r *slatewindv1.Reservation) { r.First = true }, true},
+		"requests that wait for one":               {1, func(r *slatewindv1.Reservation) { r.First = true }, true},
+		"requests that are refused":                {1, func(r *slatewindv1.Reservation) { r.First, r.PatienceMs = true, 0 }, true},
+		"requests that asked another server first": {2 * many, func(*slatewindv1.Reservation) {}, false},
+		"calls of servers":                         {2 * many, func(r *slatewindv1.Reservation) { r.First, r.Begun = true, true }, false},
+		"requests for another service":             {2 * many, func(r *slatewindv1.Reservation) { r.First, r.Service = true, "another" }, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newUnreached()
+			p := newFixtureWithoutServer()
 			p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: test.slots})
-			// The slack of a process that has just begun is not free.
+			// A process cannot use the slack until its first window has passed.
 			p.SetBounds(inbound.Bounds{RetryRatio: bounds.RetryRatio, RetryWindow: time.Hour})
 			for range many {
 				r := reservation()
@@ -48,8 +49,8 @@
 	}
 }
 
-// TestShareOfSlack: where there are fewer attempts than servers, those with a share of them
-// keep what they earned, and the others lose it after a while.
+// TestShareOfSlack: if the slack has fewer attempts than the service has servers, only the
+// servers with a share of it keep what they earned. On the others it lapses after a while.
 func TestShareOfSlack(t *testing.T) {
 	tests := map[string]struct {
 		sharer  retry.Sharer
@@ -67,7 +68,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newUnreached()
+				p := newFixtureWithoutServer()
 				p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: 20})
 				p.SetSharer(test.sharer)
 				p.SetBounds(inbound.Bounds{RetryRatio: 0.2, RetrySlack: test.slack, RetryWindow: 8 * time.Second})
--- a/inbound/hung_test.go
+++ b/inbound/hung_test.go
@@ -12,9 +12,10 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// hang has all slots of a place held by single requests that hang, after its server
-// has answered enough for its mean time to be known.
-func (p *place) hang(t *testing.T) {
+// hang fills all slots of the server with non-repeatable requests that hang, after the server has
+// answered enough requests for its mean service time to be known, and waits until the breaker
+// opens.
+func (p *fixture) hang(t *testing.T) {
 	p.Start(t.Context(), timer.New())
 	p.server.SetDelay(10 * time.Millisecond)
 	for i := range 6 {
@@ -34,17 +35,16 @@
 	}
 }
 
-// TestServerThatHungIsTried: a server all of whose slots are held by requests that hang
-// gets repeatable requests as trials all the same, one at a time, so that it is known
-// when it is well again; single ones keep off.
+// TestHangingServerGetsTrials: a server whose slots are all held by hanging requests still gets
+// repeatable requests as trials, one at a time, so that its recovery is noticed. Requests that
+// cannot be repeated are refused.
 //
-// For two seconds three of six sound servers of a service got nothing, while 45 of 244
-// of its requests went unserved. What settled it: of the servers of that service nine
-// had an open breaker with "in_use=10 slots=10" for 2 to 9 s, opened by requests that
-// ran too long. Their slots were held by hanging single requests until the time of these
-// was over, and a trial needs a slot.
-func TestServerThatHungIsTried(t *testing.T) {
-	p := newPlace(t)
+// Without trials beyond the slots, a server that had recovered got nothing until the hanging
+// requests reached their deadlines, for 2 to 9 s with in_use=10 slots=10. Three of six healthy
+// servers of a service were idle in this way for two seconds, while 45 of 244 requests went
+// unserved.
+func TestHangingServerGetsTrials(t *testing.T) {
+	p := newFixture(t)
 	p.hang(t)
 	p.server.Turn(standin.StampedOK)
 	answered := func() bool {
@@ -54,22 +54,22 @@
 	}
 	began := time.Now()
 	for !answered() {
-		assert.Assert(t, time.Since(began) < 2*time.Second, "the server is well and gets nothing")
+		assert.Assert(t, time.Since(began) < 2*time.Second, "the server has recovered and gets no request")
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, p.InUse(), slots, "what hangs goes on")
+	assert.Equal(t, p.InUse(), slots, "the hanging requests must still hold their slots")
 	single := reservation()
 	single.Repeatable, single.Careful, single.PatienceMs, single.LastResort = false, true, 20, true
 	for range 5 {
-		word := p.run(single, "single")
-		assert.Assert(t, word == "full" || word == "sick", word)
+		result := p.run(single, "single")
+		assert.Assert(t, result == "full" || result == "sick", result)
 	}
 }
 
-// TestOneTrialBeyondTheSlots: of the requests that hang, one more than there are slots
-// is with the server at most.
+// TestOneTrialBeyondTheSlots: at most one more request than there are slots is sent to a server
+// on which requests hang.
 func TestOneTrialBeyondTheSlots(t *testing.T) {
-	p := newPlace(t)
+	p := newFixture(t)
 	p.hang(t)
 	before := p.server.Arrivals()
 	for began := time.Now(); time.Since(began) < 1500*time.Millisecond; {
--- a/inbound/idle_test.go
+++ b/inbound/idle_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIdle: an idle time is written down after a second, then each time it has lasted twice as
-// long, and ends with a request.
+// TestIdle: an idle time is recorded after a second, then whenever it has doubled, and ends with
+// a request.
 func TestIdle(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := newIdleTime(start)
@@ -22,7 +22,7 @@
 	l.refused[CauseSick], l.refused[CauseFull] = 2, 1
 	l.unused = 3
 	assert.Equal(t, l.describe(start.Add(4*time.Second)), "for=4.0s unused=3 full=1 sick=2")
-	l.end(start.Add(5 * time.Second))
+	l.reset(start.Add(5 * time.Second))
 	assert.Assert(t, !l.due(start.Add(5900*time.Millisecond)))
 	assert.Equal(t, l.describe(start.Add(6*time.Second)), "for=1.0s unused=0")
 }
--- a/inbound/inbound.go
+++ b/inbound/inbound.go
@@ -1,12 +1,12 @@
-// Package inbound gives out the slots of the one server beside this process.
+// Package inbound manages the slots (the concurrency limit) of the one backend server beside this
+// process.
 //
-// Everything that the fleet sends to the server passes here, in two steps. A
-// reservation asks for a slot; it is refused, queued or granted without the
-// server being touched. Only a granted reservation may send its request. So an
-// ingress that hears nothing, or does not like to wait, goes elsewhere with the
-// proof that nothing ran: it never sent the request. The judgement of the
-// server (package breaker) stands here too, since only this process sees all of
-// the server's traffic.
+// All requests of the fleet to that server pass through this package, in two steps. A reservation
+// asks for a slot; it is refused, queued or granted without contacting the server. Only a granted
+// reservation may send its request. An ingress that gets no reply, or does not want to wait, may
+// therefore use another server: nothing ran, since the ingress never sent the request. The
+// server's circuit breaker (package breaker) is part of this package, since only this process
+// sees all of the server's traffic.
 package inbound
 
 import (
@@ -34,40 +34,41 @@
 var Error = errs.Class("inbound")
 
 const (
-	// tickInterval is how often the queue and overdue requests are looked at.
+	// tickInterval is how often the queue and overdue requests are checked.
 	tickInterval = 50 * time.Millisecond
-	// grantTime is how long a granted slot waits for its request. A sender that
-	// takes longer has given up, or one of the two processes was paused.
+	// grantTime is how long a granted slot is kept for its request. A sender that takes longer
+	// has given up, or one of the two processes was paused.
 	grantTime = time.Second
-	// defaultSlots is the number of slots until the server or its entry states it.
+	// defaultSlots is the number of slots until the server or its entry states one.
 	defaultSlots = 2
 )
 
-// Cause says why a reservation was refused.
+// Cause is the reason why a reservation was refused.
 type Cause string
 
 // Causes of refusals.
 const (
-	// CauseFull: no slot will be free in time.
+	// CauseFull: no slot will be free before the reservation's wait limit.
 	CauseFull Cause = "full"
-	// CauseSick: the breaker lets no such request through.
+	// CauseSick: the circuit breaker rejects requests of this kind.
 	CauseSick Cause = "sick"
-	// CauseLeaving: the server takes no new work.
+	// CauseLeaving: the server accepts no new requests.
 	CauseLeaving Cause = "leaving"
-	// CauseStopping: this process is about to end and takes no new work; the next one will.
+	// CauseStopping: this process is about to exit and accepts no new requests; its successor
+	// will.
 	CauseStopping Cause = "stopping"
-	// CauseMoved: the server here belongs to another service.
+	// CauseMoved: the server at this address belongs to another service.
 	CauseMoved Cause = "moved"
-	// CauseBudget: an extra arrival that the bound on them does not allow here.
+	// CauseBudget: the retry budget of this server does not allow another extra attempt.
 	CauseBudget Cause = "budget"
-	// CauseQuarantined: servers ended under the request.
+	// CauseQuarantined: servers exited while they were running this request.
 	CauseQuarantined Cause = "quarantined"
-	// CauseLate: the request's time is over, its granted slot ran out, or it cannot be
-	// finished before this process ends.
+	// CauseLate: the request's deadline has passed, its granted slot has expired, or it cannot
+	// complete before this process exits.
 	CauseLate Cause = "late"
 )
 
-// Server says which server stands beside the process.
+// Server identifies the server beside the process.
 type Server struct {
 	Service string
 	// Address is the server's IP:port.
@@ -75,8 +76,9 @@
 	Dialect slatewind.ServerHeaders
 }
 
-// Bounds holds the operators' bound on extra arrivals at the servers of a service:
-// in each window no more than slack and a ratio of the first ones.
+// Bounds is the operators' limit on extra attempts (retries and hedges) that arrive at the
+// servers of a service: in each window at most RetrySlack attempts plus RetryRatio times the
+// number of first attempts.
 type Bounds struct {
 	RetryRatio  float64
 	RetrySlack  float64
@@ -84,71 +86,73 @@
 }
 
 const (
-	// extrasShare is the share of the bound that is given out. The rest is for calls
-	// of runs that were extra ones, which are not denied, for servers that are
-	// not known of yet, and for what is earned for a short time only (retry.Window).
+	// extrasShare is the share of the limit that is used. The rest covers nested calls of
+	// requests that are themselves extra attempts, which are not denied, servers that are not
+	// known yet, and attempts that are earned only for a short time (retry.Window).
 	extrasShare = 0.85
-	// leastSlack is how many attempts of the slack are given out where that share of it is
-	// less.
-	leastSlack = 1
+	// minSlack is the minimum number of attempts of the slack that may be used, in case
+	// extrasShare of the slack is less.
+	minSlack = 1
 )
 
-// Inbound gives out the slots of one server. It is safe for use by several
-// goroutines.
+// Inbound manages the slots of one server. It is safe for concurrent use.
 type Inbound struct {
 	server  Server
 	pool    *backend.Pool
 	journal slatewind.Journal
 
 	mu sync.Mutex
-	// name is that of the server that runs here, start which start of it; empty until known.
+	// name is the name of the server that is running here and start identifies its start; both
+	// are zero until they are known.
 	name  string
 	start int64
-	// gone says that its entry is.
-	gone bool
-	// overtaken is the entry of another server at the address that seems to have started
-	// earlier, or nil.
-	overtaken *slatewind.ServerEntry
-	slots     *admission.Server
-	breaker   *breaker.Breaker
-	// extras is the account of extra arrivals at the server.
+	// entryRemoved reports that the server's entry was removed.
+	entryRemoved bool
+	// olderEntry is the entry of another server at the address whose start time is earlier, or
+	// nil.
+	olderEntry *slatewind.ServerEntry
+	slots      *admission.Server
+	breaker    *breaker.Breaker
+	// extras is the budget of extra attempts at the server.
 	extras *retry.Window
-	// bounds are the operators'; sharer is the server's place among those that share them.
+	// bounds is the operators' limit; sharer is the server's position among the servers that
+	// share it.
 	bounds Bounds
 	sharer retry.Sharer
-	// waiting holds, by the item's id, where its decision is awaited.
+	// waiting holds the channels on which reservations await their decision, by item ID.
 	waiting map[string]chan admission.Decision
-	// parents holds, by their callers' ids, the requests that the server runs.
+	// parents holds the requests that the server is running, by the request ID of the caller.
 	parents map[string]*parent
-	// unread holds, by the item's id, what tells whether bytes of an answer wait to be read, and
-	// looked is when they were last asked.
-	unread map[string]func() bool
-	looked time.Time
-	// away says why the server takes no work.
-	away string
-	// stop is the course of the process's stop, nil before it; callers reports whether it
-	// has callers' requests in hand.
-	stop    *drain.Course
-	callers func() bool
-	// closed says that what waited when the stop closed was refused.
-	closed bool
-	// inHand counts the reservations that have no final reply yet, early those of them
-	// that got their slot before the stop closed.
-	inHand, early int
-	nextID        uint64
-	// idle is the time in which the server gets no request.
+	// unread holds, by item ID, the functions that report whether bytes of an answer are waiting
+	// to be read; lastUnreadCheck is when they were last called.
+	unread          map[string]func() bool
+	lastUnreadCheck time.Time
+	// leavingReason is the reason why the server accepts no new requests, or empty while it does.
+	leavingReason string
+	// shutdown is the schedule of the graceful shutdown, nil before it begins; callersInFlight
+	// reports whether requests of callers are in flight.
+	shutdown        *drain.Course
+	callersInFlight func() bool
+	// queueRefused reports that the reservations that were waiting when the shutdown stopped
+	// admission have been refused.
+	queueRefused bool
+	// inFlight is the number of reservations without a final reply, beforeClose the number of
+	// those that got their slot before the shutdown stopped admission.
+	inFlight, beforeClose int
+	nextID                uint64
+	// idle is the time since the server last got a request.
 	idle idleTime
-	// clock counts the time too in which the VM was suspended.
+	// clock also counts the time during which the VM was suspended.
 	clock timer.Clock
-	// pauses tells when the process did not run.
+	// pauses detects when the process did not run.
 	pauses pauseDetector
-	// crashes finds the ends of the server, suspects are the requests under which servers ended.
+	// crashes detects exits of the server; suspects is the process's table of requests that
+	// servers were running when they exited.
 	crashes  *crash.Detector
 	suspects *quarantine.Table
 }
 
-// New returns the slots of a server. What is known of requests under which servers ended is the
-// process's.
+// New returns an Inbound for a server. The table of suspects is shared by the whole process.
 func New(server Server, bounds Bounds, journal slatewind.Journal, suspects *quarantine.Table) *Inbound {
 	in := &Inbound{
 		server: server, bounds: bounds, journal: journal, suspects: suspects,
@@ -165,7 +169,7 @@
 	return in
 }
 
-// Start begins the ticks, which end with ctx.
+// Start starts the periodic checks. They stop when ctx ends.
 func (in *Inbound) Start(ctx context.Context, timers *timer.Service) {
 	timers.Subscribe(ctx, tickInterval, func(t timer.Tick) { in.tick(t.Now) })
 }
@@ -173,94 +177,94 @@
 func (in *Inbound) tick(now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.closeInTime(now)
+	in.refuseQueued(now)
 	in.deliver(in.slots.Advance(now))
-	in.lookForAnswers(now)
-	if in.judge(now).Tick(now) {
-		in.noteBreaker(now, "requests run for far longer than their route's mean")
+	in.checkUnread(now)
+	if in.currentBreaker(now).Tick(now) {
+		in.recordBreaker(now, "requests run for far longer than their route's mean")
 	}
-	in.noteIdle(now)
+	in.recordIdle(now)
 	in.pauses.tick(now)
 }
 
-// SetSharer states the server's place among those of its service; they share the bound on
-// extra arrivals.
+// SetSharer sets the server's position among the servers of its service, which share the limit on
+// extra attempts.
 func (in *Inbound) SetSharer(sharer retry.Sharer) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.sharer = sharer
-	in.shareSlack()
+	in.updateSlack()
 }
 
-// SetBounds changes the operators' bound. What was spent counts on.
+// SetBounds changes the operators' limit. Attempts that were already made still count.
 func (in *Inbound) SetBounds(bounds Bounds) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.bounds = bounds
 	in.extras.SetBounds(time.Now(), extrasShare*bounds.RetryRatio, bounds.RetryWindow)
-	in.shareSlack()
+	in.updateSlack()
 }
 
-// shareSlack takes the server's share of the slack. The lock is held.
-func (in *Inbound) shareSlack() {
+// updateSlack updates the server's share of the slack. in.mu must be held.
+func (in *Inbound) updateSlack() {
 	slack := in.bounds.RetrySlack
 	in.extras.SetBare(slack == 0)
-	in.extras.SetSlack(in.sharer.Share(max(extrasShare*slack, min(slack, leastSlack))))
+	in.extras.SetSlack(in.sharer.Share(max(extrasShare*slack, min(slack, minSlack))))
 }
 
-// leave refuses all work from now on. The lock is held.
-func (in *Inbound) leave(now time.Time, reason string) {
-	if in.away != "" {
+// startLeaving refuses all reservations from now on, the queued ones included. in.mu must be held.
+func (in *Inbound) startLeaving(now time.Time, reason string) {
+	if in.leavingReason != "" {
 		return
 	}
-	in.away = reason
-	in.noteLeaving(now, "the server takes no new work: "+reason)
-	in.deliver(in.slots.RefuseAll(whyLeaving(reason)))
+	in.leavingReason = reason
+	in.recordLeaving(now, "the server accepts no new requests: "+reason)
+	in.deliver(in.slots.RefuseAll(leavingText(reason)))
 }
 
-func (in *Inbound) noteLeaving(now time.Time, reason string) {
+func (in *Inbound) recordLeaving(now time.Time, reason string) {
 	in.journal.Add(slatewind.Decision{
 		Time: now, Kind: slatewind.DecisionLeaving, Service: in.server.Service, Server: in.name, Reason: reason,
 	})
 }
 
-// InUse returns how many slots are held.
+// InUse returns the number of slots in use.
 func (in *Inbound) InUse() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.slots.InUse()
 }
 
-// Close closes the connections that no request uses.
+// Close closes the idle connections to the server.
 func (in *Inbound) Close() {
 	in.pool.CloseIdle()
 }
 
-// setSlots takes a number of slots where one is stated. The lock is held.
+// setSlots sets the number of slots if it is positive. in.mu must be held.
 func (in *Inbound) setSlots(slots int) {
 	if slots > 0 {
 		in.slots.SetSlots(slots)
 	}
 }
 
-// Serve handles one reservation until its end.
+// Serve handles one reservation until it ends.
 func (in *Inbound) Serve(stream link.UseStream) error {
 	first, err := stream.Recv()
 	if err != nil {
-		return ignoreEnd(stream.Context(), err)
+		return ignoreDisconnect(stream.Context(), err)
 	}
 	reservation := first.GetReservation()
 	if reservation == nil {
-		return Error.New("a stream begins with a reservation")
+		return Error.New("invalid stream: the first message must be a reservation")
 	}
 	u := &use{in: in, stream: stream, reservation: reservation}
-	u.begin()
-	defer u.finish()
-	return ignoreEnd(stream.Context(), u.serve())
+	u.trackInFlight()
+	defer u.untrackInFlight()
+	return ignoreDisconnect(stream.Context(), u.serve())
 }
 
-// ignoreEnd leaves out errors that only say that the sender is gone.
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreDisconnect returns nil for errors that only result from the sender's disconnecting.
+func ignoreDisconnect(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, io.EOF) {
 		return nil
 	}
--- a/inbound/inbound_test.go
+++ b/inbound/inbound_test.go
@@ -27,29 +27,29 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// place is a server with the process beside it.
-type place struct {
+// fixture is a server with the Inbound of the process beside it.
+type fixture struct {
 	*inbound.Inbound
 	server *standin.Stamped
 }
 
 const slots = 2
 
-// bounds allow a server some extra arrivals once its process has run for a window.
+// bounds allow a server some extra attempts once its process has run for one window.
 var bounds = inbound.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindow: time.Second}
 
-func newPlace(t *testing.T) *place {
+func newFixture(t *testing.T) *fixture {
 	server := standin.NewStamped("s-1", platform.Servers())
-	p := newPlaceOf(t, server)
+	p := newFixtureFor(t, server)
 	p.server = server
 	return p
 }
 
-// newPlaceOf returns a place whose server is a handler.
-func newPlaceOf(t *testing.T, server http.Handler) *place {
+// newFixtureFor returns a fixture with the given server.
+func newFixtureFor(t *testing.T, server http.Handler) *fixture {
 	web := httptest.NewServer(server)
 	t.Cleanup(web.Close)
-	p := &place{}
+	p := &fixture{}
 	p.Inbound = inbound.New(inbound.Server{
 		Service: "svc", Address: strings.TrimPrefix(web.URL, "http://"), Dialect: platform.Servers(),
 	}, bounds, history.New(0, nil), quarantine.NewTable(nil, nil))
@@ -58,45 +58,46 @@
 	return p
 }
 
-// newUnreached returns a place for tests of reservations alone: nothing listens
-// at its server's address.
-func newUnreached() *place {
-	return &place{Inbound: inbound.New(inbound.Server{
+// newFixtureWithoutServer returns a fixture for tests of reservations only: nothing listens at
+// its server's address.
+func newFixtureWithoutServer() *fixture {
+	return &fixture{Inbound: inbound.New(inbound.Server{
 		Service: "svc", Address: "127.0.0.1:1", Dialect: platform.Servers(),
 	}, bounds, history.New(0, nil), quarantine.NewTable(nil, nil))}
 }
 
-// reservation is one for a request that may be a trial.
+// reservation returns a reservation for a repeatable request, which may be used as a trial.
 func reservation() *slatewindv1.Reservation {
 	return &slatewindv1.Reservation{Service: "svc", Route: "r", Repeatable: true, RemainingMs: 2000, PatienceMs: 1000}
 }
 
-// longReservation is one for a request that is expected to take so long.
+// longReservation returns a reservation for a request with the given expected service time.
 func longReservation(expectedMs uint32) *slatewindv1.Reservation {
 	r := reservation()
 	r.ExpectedMs = expectedMs
 	return r
 }
 
-// stopSince returns the course of a stop of six seconds that began some time ago.
-func stopSince(ago time.Duration) drain.Course {
+// shutdownStartedAgo returns the schedule of a shutdown with a grace period of six seconds that
+// started the given time ago.
+func shutdownStartedAgo(ago time.Duration) drain.Course {
 	return drain.Course{Began: time.Now().Add(-ago), Grace: 6 * time.Second}
 }
 
-// nobody says that no callers' requests are in hand.
-func nobody() bool { return false }
+// noCallers reports that no requests of callers are in flight.
+func noCallers() bool { return false }
 
-// TestStoppingProcessGivesSlots: the server of a process that has just begun to stop works
-// on, and what waits for a slot when the stop closes is refused then.
-func TestStoppingProcessGivesSlots(t *testing.T) {
+// TestStoppingProcessGrantsSlots: slots are still granted just after a shutdown has started, and
+// the reservations that are queued when it stops admission are refused then.
+func TestStoppingProcessGrantsSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		p := newUnreached()
+		p := newFixtureWithoutServer()
 		p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: 1})
 		p.Start(ctx, timer.New())
 		const closesIn = 700 * time.Millisecond
-		p.Drain(stopSince(1500*time.Millisecond), nobody)
+		p.Drain(shutdownStartedAgo(1500*time.Millisecond), noCallers)
 		_, reply := p.reserve(ctx, reservation())
 		assert.Assert(t, reply.GetGranted() != nil, reply)
 		assert.Assert(t, !reply.GetGranted().GetLeaving())
@@ -105,7 +106,7 @@
 		waiting, reply := p.reserve(ctx, patient)
 		assert.Assert(t, reply.GetQueued() != nil, reply)
 		began := time.Now()
-		// Nobody uses the slot that was granted; it is held for a second.
+		// The granted slot is not used; it is kept for a second.
 		reply, err := waiting.Recv()
 		assert.NilError(t, err)
 		waited := time.Since(began)
@@ -117,8 +118,8 @@
 	})
 }
 
-// reserve begins a use and returns its first word.
-func (p *place) reserve(ctx context.Context, r *slatewindv1.Reservation) (link.Use, *slatewindv1.UseReply) {
+// reserve opens a stream with a reservation and returns the first reply.
+func (p *fixture) reserve(ctx context.Context, r *slatewindv1.Reservation) (link.Use, *slatewindv1.UseReply) {
 	use := link.LocalUse(ctx, p.Serve)
 	if err := use.Send(&slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Reservation{Reservation: r}}); err != nil {
 		panic(err)
@@ -130,7 +131,7 @@
 	return use, reply
 }
 
-// request sends the request that takes a granted slot and returns the reply.
+// request sends the request that uses a granted slot and returns the reply.
 func request(use link.Use, id string) (*slatewindv1.UseReply, error) {
 	err := use.Send(&slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Request{Request: &slatewindv1.SlotRequest{
 		RemainingNanos: int64(2 * time.Second), Server: "s-1", Method: "POST", Target: "/x", Host: "h",
@@ -142,8 +143,9 @@
 	return use.Recv()
 }
 
-// run takes one request through both steps; word says what came of it.
-func (p *place) run(r *slatewindv1.Reservation, id string) (word string) {
+// run takes one request through both steps and returns a short text of the result: the refusal's
+// cause, the failure's outcome, or the status and the body.
+func (p *fixture) run(r *slatewindv1.Reservation, id string) (result string) {
 	use, reply := p.reserve(context.Background(), r)
 	if refusal := reply.GetRefusal(); refusal != nil {
 		return refusal.GetCause()
@@ -167,15 +169,16 @@
 	}
 }
 
-// TestRunCutByStop: a server that is given a request while the process beside it stops is handed no more time than that process has.
-func TestRunCutByStop(t *testing.T) {
+// TestDeadlineLimitedByShutdown: a server that gets a request during the shutdown of the process
+// beside it is given a deadline before the end of that process.
+func TestDeadlineLimitedByShutdown(t *testing.T) {
 	handed := make(chan string, 1)
-	p := newPlaceOf(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p := newFixtureFor(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handed <- r.Header.Get(platform.Servers().Deadline)
 		w.WriteHeader(http.StatusGatewayTimeout)
 	}))
 	course := drain.Course{Began: time.Now().Add(-time.Second), Grace: 3 * time.Second}
-	p.Drain(course, nobody)
+	p.Drain(course, noCallers)
 	p.run(reservation(), "id")
 	left := time.Until(course.WorkEnds())
 	milliseconds, err := strconv.Atoi(<-handed)
@@ -183,26 +186,26 @@
 	assert.Assert(t, time.Duration(milliseconds)*time.Millisecond < left, "%d ms, the process ends in %s", milliseconds, left)
 }
 
-// TestOutcomes: what becomes of one request, by how the server behaves, and
-// whether the server ran it.
+// TestOutcomes: the result of one request for each behaviour of the server, and whether the
+// server ran it.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		mode standin.StampedMode
-		word string
-		runs int
+		mode   standin.StampedMode
+		result string
+		runs   int
 	}{
-		"an answer":             {standin.StampedOK, "200 s-1 /x b", 1},
-		"an error of its own":   {standin.StampedError, "500 s-1 /x b", 1},
-		"a reset":               {standin.StampedReset, "unknown", 0},
-		"a lost answer":         {standin.StampedLost, "unknown", 1},
-		"a rejection":           {standin.StampedShed, "not-run", 0},
-		"an answer that is cut": {standin.StampedCut, "unknown", 1},
+		"an answer":           {standin.StampedOK, "200 s-1 /x b", 1},
+		"an error of its own": {standin.StampedError, "500 s-1 /x b", 1},
+		"a reset":             {standin.StampedReset, "unknown", 0},
+		"a lost answer":       {standin.StampedLost, "unknown", 1},
+		"a rejection":         {standin.StampedShed, "not-run", 0},
+		"a truncated answer":  {standin.StampedCut, "unknown", 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newPlace(t)
+			p := newFixture(t)
 			p.server.SetMode(test.mode)
-			assert.Equal(t, p.run(reservation(), "id"), test.word)
+			assert.Equal(t, p.run(reservation(), "id"), test.result)
 			assert.Equal(t, p.server.Runs()["id"], test.runs)
 			assert.Equal(t, p.server.Arrivals(), 1, "nothing is sent twice")
 			assert.Equal(t, p.InUse(), 0)
@@ -210,24 +213,24 @@
 	}
 }
 
-// TestRefusals: refused reservations touch no server.
+// TestRefusals: refused reservations cause no request to the server.
 func TestRefusals(t *testing.T) {
 	careful := reservation()
 	careful.Careful = true
 	other := reservation()
 	other.Service = "another"
 	tests := map[string]struct {
-		before func(p *place)
+		before func(p *fixture)
 		r      *slatewindv1.Reservation
 		cause  inbound.Cause
 	}{
-		"another service":       {func(*place) {}, other, inbound.CauseMoved},
-		"a leaving server":      {func(p *place) { p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Leaving: true}) }, reservation(), inbound.CauseLeaving},
-		"a server that is gone": {func(p *place) { p.Gone(time.Now(), "s-1") }, reservation(), inbound.CauseLeaving},
-		"a process that closes": {func(p *place) { p.Drain(stopSince(3*time.Second), nobody) }, reservation(), inbound.CauseStopping},
-		"no time to finish it":  {func(p *place) { p.Drain(stopSince(0), nobody) }, longReservation(5500), inbound.CauseLate},
-		"little time to spare":  {func(p *place) { p.Drain(stopSince(2*time.Second), nobody) }, longReservation(1600), inbound.CauseLate},
-		"a sick server": {func(p *place) {
+		"another service":                      {func(*fixture) {}, other, inbound.CauseMoved},
+		"a leaving server":                     {func(p *fixture) { p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Leaving: true}) }, reservation(), inbound.CauseLeaving},
+		"a server without an entry":            {func(p *fixture) { p.Gone(time.Now(), "s-1") }, reservation(), inbound.CauseLeaving},
+		"a process that has stopped admission": {func(p *fixture) { p.Drain(shutdownStartedAgo(3*time.Second), noCallers) }, reservation(), inbound.CauseStopping},
+		"no time to complete it":               {func(p *fixture) { p.Drain(shutdownStartedAgo(0), noCallers) }, longReservation(5500), inbound.CauseLate},
+		"likely to take too long":              {func(p *fixture) { p.Drain(shutdownStartedAgo(2*time.Second), noCallers) }, longReservation(1600), inbound.CauseLate},
+		"an unhealthy server": {func(p *fixture) {
 			p.server.SetMode(standin.StampedReset)
 			p.run(reservation(), "victim")
 			p.server.SetMode(standin.StampedOK)
@@ -235,7 +238,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newPlace(t)
+			p := newFixture(t)
 			test.before(p)
 			before := p.server.Arrivals()
 			assert.Equal(t, p.run(test.r, "id"), string(test.cause))
@@ -244,11 +247,11 @@
 	}
 }
 
-// TestLeavesAfterGrant: a request whose slot was granted before its server began
-// to leave does not go there any more. It may come up to a second after its grant,
-// which no bound on how soon a leaving server is heard of counts.
+// TestLeavesAfterGrant: a request is not sent if its server started to leave after the slot was
+// granted. Otherwise the server would get requests up to a second later than the bound on
+// noticing a leaving server allows.
 func TestLeavesAfterGrant(t *testing.T) {
-	p := newPlace(t)
+	p := newFixture(t)
 	use, reply := p.reserve(context.Background(), reservation())
 	assert.Assert(t, reply.GetGranted() != nil)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Leaving: true})
@@ -259,10 +262,10 @@
 	assert.Equal(t, p.InUse(), 0)
 }
 
-// TestServerReturns: a server whose entry is back, or that another start took
-// the place of, is served again.
+// TestServerReturns: a server is used again when its entry is published again. The removal of
+// another start's entry has no effect.
 func TestServerReturns(t *testing.T) {
-	p := newPlace(t)
+	p := newFixture(t)
 	p.Gone(time.Now(), "an older start")
 	assert.Equal(t, p.run(reservation(), "a"), "200 s-1 /x b")
 	p.Gone(time.Now(), "s-1")
@@ -270,21 +273,21 @@
 	assert.Equal(t, p.run(reservation(), "b"), "200 s-1 /x b")
 }
 
-// TestOtherStart: a request that is meant for another start is not run, and the
-// name that the server tells is used from then on.
-func TestOtherStart(t *testing.T) {
-	p := newPlace(t)
+// TestRequestForOtherStart: a request that is addressed to another start of the server is not
+// run, and the name that the server states is used from then on.
+func TestRequestForOtherStart(t *testing.T) {
+	p := newFixture(t)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-0", Service: "svc", Slots: slots})
 	assert.Equal(t, p.run(reservation(), "a"), "not-run")
 	assert.Equal(t, p.server.Runs()["a"], 0)
 	assert.Equal(t, p.run(reservation(), "b"), "200 s-1 /x b")
 }
 
-// TestQueue: a reservation beyond the slots waits, takes the next free one, and
-// a sender that leaves gives its place back.
+// TestQueue: a reservation beyond the slots is queued and gets the next free one. A sender that
+// disconnects gives up its place in the queue.
 func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newUnreached()
+		p := newFixtureWithoutServer()
 		ctx, stop := context.WithCancel(t.Context())
 		p.Start(ctx, timer.New())
 		p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
@@ -312,12 +315,12 @@
 	})
 }
 
-// TestGrantRunsOut: a granted slot that no request takes is given back, and a
-// request that comes later is refused. A sender or a process that was frozen
-// meanwhile starts nothing late.
-func TestGrantRunsOut(t *testing.T) {
+// TestGrantExpires: a granted slot is released if no request uses it in time, and a request that
+// arrives later is refused. Nothing is started late for a sender or process that was paused in
+// between.
+func TestGrantExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newUnreached()
+		p := newFixtureWithoutServer()
 		ctx, stop := context.WithCancel(t.Context())
 		p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
 		use, reply := p.reserve(ctx, reservation())
@@ -334,11 +337,11 @@
 	})
 }
 
-// TestPatience: a reservation that would wait too long is refused at once, with
-// the time after which a slot is likely.
-func TestPatience(t *testing.T) {
+// TestWaitLimit: a reservation that would be queued for longer than its wait limit is refused when
+// the limit is reached, with the time after which a slot is expected to be free.
+func TestWaitLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newUnreached()
+		p := newFixtureWithoutServer()
 		ctx, stop := context.WithCancel(t.Context())
 		p.Start(ctx, timer.New())
 		p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: 1})
--- a/inbound/late_test.go
+++ b/inbound/late_test.go
@@ -13,9 +13,10 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestGrantUsedLate: a server is not held sick for the time between the grant of its slots and the requests that use them, which a slow process at the other end takes.
+// TestGrantUsedLate: the time between a grant and the request that uses it, which a slow process
+// at the other end causes, does not count against the server.
 func TestGrantUsedLate(t *testing.T) {
-	p := newPlace(t)
+	p := newFixture(t)
 	p.Start(t.Context(), timer.New())
 	p.server.SetDelay(10 * time.Millisecond)
 	for i := range 6 {
--- a/inbound/pause_test.go
+++ b/inbound/pause_test.go
@@ -13,38 +13,39 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// TestPauseOfTheProcess: time in which this process did not run is not the server's, whose
-// answers may wait unread. Time in which the process ran and the server was silent is.
-func TestPauseOfTheProcess(t *testing.T) {
+// TestProcessPause: time during which this process did not run is not counted as the
+// server's, whose answers may have been waiting unread. Time during which the process ran and the
+// server did not answer is counted.
+func TestProcessPause(t *testing.T) {
 	const work, silence = 400 * time.Millisecond, 2 * time.Second
 	tests := map[string]struct {
 		paused bool
-		// wake is what the process does first after the silence.
-		wake func(t *testing.T, in *Inbound, now time.Time)
-		want breaker.State
+		// resume is the first activity of the process after the silence.
+		resume func(t *testing.T, in *Inbound, now time.Time)
+		want   breaker.State
 	}{
 		"silent while the process ran": {false, tickOnly, breaker.StateOpen},
 		"paused, then a tick":          {true, tickOnly, breaker.StateClosed},
-		"paused, then a reservation":   {true, askFirst, breaker.StateClosed},
+		"paused, then a reservation":   {true, reservationFirst, breaker.StateClosed},
 		"paused, then answers":         {true, answerFirst, breaker.StateClosed},
 		"paused, then a call":          {true, callFirst, breaker.StateClosed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			in := New(Server{Service: "s"}, Bounds{}, history.New(0, nil), quarantine.NewTable(nil, nil))
-			woken := time.Now()
-			now := woken.Add(-silence)
+			resumed := time.Now()
+			now := resumed.Add(-silence)
 			in.tick(now)
 			for _, id := range []string{"a", "b", "c", "d"} {
 				in.breaker.Grant(now, id, "route", work)
 				in.breaker.Start(now, id)
 				in.parents[id] = &parent{item: id}
 			}
-			for !test.paused && now.Before(woken) {
+			for !test.paused && now.Before(resumed) {
 				now = now.Add(tickInterval)
 				in.tick(now)
 			}
-			test.wake(t, in, woken)
+			test.resume(t, in, resumed)
 			assert.Equal(t, in.breaker.State(), test.want)
 		})
 	}
@@ -52,9 +53,9 @@
 
 func tickOnly(_ *testing.T, in *Inbound, now time.Time) { in.tick(now) }
 
-// askFirst has a request ask for a slot that must not be repeated and bears as much
-// suspicion as a busy healthy server shows.
-func askFirst(t *testing.T, in *Inbound, now time.Time) {
+// reservationFirst makes a reservation for a request that must not be repeated and tolerates as
+// much suspicion as a busy healthy server shows.
+func reservationFirst(t *testing.T, in *Inbound, now time.Time) {
 	t.Helper()
 	_, refusal, _ := in.offer(now, &slatewindv1.Reservation{
 		Service: "s", Careful: true, BearableTenths: 10, RemainingMs: 1000, PatienceMs: 1000,
@@ -63,16 +64,16 @@
 	in.tick(now)
 }
 
-// answerFirst has the answers come that waited unread.
+// answerFirst completes the requests whose answers were waiting unread.
 func answerFirst(_ *testing.T, in *Inbound, now time.Time) {
 	for _, id := range []string{"a", "b", "c"} {
 		u := &use{in: in, item: admission.Item{ID: id}, granted: now}
-		u.end(breaker.ResultOK, "")
+		u.endRun(breaker.ResultOK, "")
 	}
 	in.tick(now)
 }
 
-// callFirst has the server make a call for one of its requests.
+// callFirst begins a nested call of one of the server's requests.
 func callFirst(t *testing.T, in *Inbound, now time.Time) {
 	t.Helper()
 	_, known := in.NestedCall("a.1")
@@ -80,7 +81,8 @@
 	in.tick(now)
 }
 
-// TestAnswersReadLate: a server is not set aside for answers that have come and that this process, which is slow, has not read.
+// TestAnswersReadLate: the breaker does not open because of answers that have arrived and that
+// this process, being slow, has not read yet.
 func TestAnswersReadLate(t *testing.T) {
 	const work = 100 * time.Millisecond
 	tests := map[string]struct {
@@ -96,7 +98,7 @@
 			began := time.Now()
 			for _, id := range []string{"a", "b"} {
 				in.breaker.Grant(began, id, "route", work)
-				in.sending(id, func() bool { return test.come })
+				in.beginServerTime(id, func() bool { return test.come })
 			}
 			for now := began; now.Before(began.Add(10 * work)); now = now.Add(tickInterval) {
 				in.tick(now)
--- a/inbound/quarantine.go
+++ b/inbound/quarantine.go
@@ -12,8 +12,9 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// quarantined says whether the server may be given the request. It is asked last, since news of
-// other servers' ends may come while a request waits or is read.
+// quarantined returns whether the request may be sent to the server. It is the last check before
+// the request is sent, since reports of other servers' exits may arrive while the request is
+// queued or its body is being read.
 func (u *use) quarantined(now time.Time, request *slatewindv1.SlotRequest, body []byte) quarantine.Verdict {
 	u.digest = sync.OnceValue(quarantine.Content{
 		Workspace: u.reservation.GetWorkspace(), Method: request.GetMethod(), Host: request.GetHost(), Target: request.GetTarget(), Body: body,
@@ -23,14 +24,15 @@
 	return verdict
 }
 
-// turn returns the process's among those beside the servers of its service.
+// turn returns the server's position among the servers of its service, which take turns in trials
+// of quarantined requests.
 func (in *Inbound) turn() quarantine.Turn {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return quarantine.Turn{Place: in.sharer.Rank, Places: in.sharer.Servers}
 }
 
-// refuseQuarantined refuses a request under which servers ended.
+// refuseQuarantined refuses a request that servers were running when they exited.
 func (u *use) refuseQuarantined(now time.Time, verdict quarantine.Verdict) error {
 	u.in.mu.Lock()
 	refusal := u.in.refusal(CauseQuarantined, verdict.Reason(u.digest()), verdict.TrialIn)
@@ -39,20 +41,22 @@
 	return u.sendRefusal(refusal)
 }
 
-// atServer returns the run of the request at the server, which may have had it.
-func (u *use) atServer(sent bool) crash.Run {
+// crashRun describes the run of the request for crash detection. sent reports whether any byte
+// was written to the server.
+func (u *use) crashRun(sent bool) crash.Run {
 	return crash.Run{Digest: u.digest(), Trial: u.trial, Began: u.began, Sent: sent}
 }
 
-// noteEnd notes whether the server ended under the request, whose run failed. It returns what is
-// known of the request then, so that its sender knows before it tries another server.
-func (u *use) noteEnd(ctx context.Context, sent bool, err error) *slatewindv1.Suspect {
+// recordServerExit records whether the server exited while it was running the request, whose run
+// failed with err. It returns the record of the request, so that the sender has it before it
+// tries another server.
+func (u *use) recordServerExit(ctx context.Context, sent bool, err error) *slatewindv1.Suspect {
 	now := time.Now()
 	if ctx.Err() != nil {
-		u.in.crashes.Left(now, u.atServer(sent))
+		u.in.crashes.Left(now, u.crashRun(sent))
 		return nil
 	}
-	end, ok := u.in.crashes.Failed(u.atServer(sent), err)
+	end, ok := u.in.crashes.Failed(u.crashRun(sent), err)
 	if !ok {
 		return nil
 	}
--- a/inbound/starts_test.go
+++ b/inbound/restart_test.go
@@ -13,7 +13,7 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// entryOf returns the entry of a start of the server.
+// entryOf returns the entry of one start of the server.
 func entryOf(start int64) *slatewind.ServerEntry {
 	return &slatewind.ServerEntry{Name: "s-1", Service: "svc", Address: "a:1", Slots: slots, Start: start}
 }
@@ -27,22 +27,22 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("waited in vain")
+	t.Fatal("timed out")
 }
 
-// TestAnotherStartOfServer: another start of the server under its name begins with nothing,
-// and an older one's word changes nothing any more.
-func TestAnotherStartOfServer(t *testing.T) {
-	t.Run("slots", slotsOfAnotherStart)
-	t.Run("breaker", breakerOfAnotherStart)
-	t.Run("leaving", leavingOfAnotherStart)
-	t.Run("clocks", startsByOtherClocks)
+// TestServerRestart: after a restart of the server under the same name nothing of the
+// previous start's state applies, and entries of the older start have no effect.
+func TestServerRestart(t *testing.T) {
+	t.Run("slots", slotsAfterRestart)
+	t.Run("breaker", breakerAfterRestart)
+	t.Run("leaving", leavingAfterRestart)
+	t.Run("clocks", startsWithSkewedClocks)
 }
 
-// slotsOfAnotherStart: requests that the older start has hold no slot of the newer, and
-// free none when they end.
-func slotsOfAnotherStart(t *testing.T) {
-	p := newPlace(t)
+// slotsAfterRestart: requests at the older start hold no slot of the newer one, and release
+// none when they end.
+func slotsAfterRestart(t *testing.T) {
+	p := newFixture(t)
 	p.Published(time.Now(), entryOf(1))
 	p.server.SetMode(standin.StampedHang)
 	hung := make(chan string, slots)
@@ -71,9 +71,9 @@
 	assert.Equal(t, p.Report().GetStartUnixMillis(), int64(2))
 }
 
-// breakerOfAnotherStart: the breaker forgets what an older start under the same name did.
-func breakerOfAnotherStart(t *testing.T) {
-	p := newPlace(t)
+// breakerAfterRestart: the breaker is reset by a restart under the same name.
+func breakerAfterRestart(t *testing.T) {
+	p := newFixture(t)
 	p.Published(time.Now(), entryOf(1))
 	p.server.SetMode(standin.StampedReset)
 	assert.Equal(t, p.run(reservation(), "id"), "unknown")
@@ -84,9 +84,9 @@
 	assert.Equal(t, p.View().Breaker, breaker.StateClosed)
 }
 
-// leavingOfAnotherStart: that a start leaves says nothing of the next, and a newer start
-// that leaves is not kept by an older one's entry.
-func leavingOfAnotherStart(t *testing.T) {
+// leavingAfterRestart: a start that leaves does not affect the next one, and an older start's
+// entry does not revoke that the newer start leaves.
+func leavingAfterRestart(t *testing.T) {
 	leaving := func(start int64) *slatewind.ServerEntry {
 		entry := entryOf(start)
 		entry.Leaving = true
@@ -97,15 +97,15 @@
 		entries []*slatewind.ServerEntry
 		leaves  bool
 	}{
-		"the older start left":                    {[]*slatewind.ServerEntry{leaving(1), entryOf(2)}, false},
-		"its word comes late":                     {[]*slatewind.ServerEntry{entryOf(2), leaving(1)}, false},
-		"the newer start leaves":                  {[]*slatewind.ServerEntry{entryOf(1), leaving(2)}, true},
-		"the newer start leaves, the older comes": {[]*slatewind.ServerEntry{leaving(2), entryOf(1)}, true},
-		"a server of another service runs here":   {[]*slatewind.ServerEntry{entryOf(1), other}, true},
+		"the older start left":                  {[]*slatewind.ServerEntry{leaving(1), entryOf(2)}, false},
+		"the older start's entry arrives late":  {[]*slatewind.ServerEntry{entryOf(2), leaving(1)}, false},
+		"the newer start leaves":                {[]*slatewind.ServerEntry{entryOf(1), leaving(2)}, true},
+		"the older start's entry follows":       {[]*slatewind.ServerEntry{leaving(2), entryOf(1)}, true},
+		"a server of another service runs here": {[]*slatewind.ServerEntry{entryOf(1), other}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newPlace(t)
+			p := newFixture(t)
 			for _, entry := range test.entries {
 				p.Published(time.Now(), entry)
 			}
@@ -118,10 +118,10 @@
 	}
 }
 
-// startsByOtherClocks: a server whose entry states an earlier start than the one before it
-// at the address gets requests once that one is gone.
-func startsByOtherClocks(t *testing.T) {
-	p := newPlace(t)
+// startsWithSkewedClocks: a server whose entry states an earlier start time than the previous one
+// at the address is used once the previous one's entry is removed. The clocks of VMs differ.
+func startsWithSkewedClocks(t *testing.T) {
+	p := newFixture(t)
 	now := time.Now()
 	p.Published(now, &slatewind.ServerEntry{Name: "s-0", Service: "svc", Address: "a:1", Slots: slots, Start: 9})
 	p.Published(now, entryOf(5))
@@ -132,7 +132,7 @@
 	p.Published(now, &slatewind.ServerEntry{Name: "s-2", Service: "svc", Address: "a:1", Slots: slots, Start: 3})
 	p.Gone(now, "s-2")
 	p.Gone(now, "s-1")
-	assert.Assert(t, p.View().Leaving != "", "a server that is gone does not come back")
+	assert.Assert(t, p.View().Leaving != "", "a removed entry must not be restored")
 	p.Published(now, &slatewind.ServerEntry{Name: "s-3", Service: "svc", Address: "a:1", Slots: slots, Start: 1})
 	assert.Equal(t, p.View().Server, "s-3")
 	assert.Equal(t, p.View().Leaving, "")
--- a/inbound/run.go
+++ b/inbound/run.go
@@ -16,9 +16,9 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// run has the server run the request.
+// run sends the request to the server and forwards the answer.
 func (u *use) run(request *slatewindv1.SlotRequest, body []byte) error {
-	// The server may have begun to leave since the slot was granted.
+	// The server may have started to leave since the slot was granted.
 	if why := u.in.leaving(); why != "" {
 		u.release()
 		return u.refuse(CauseLeaving, why)
@@ -27,7 +27,7 @@
 	remaining := min(time.Duration(request.GetRemainingNanos()), u.expires.Sub(u.in.clock.Now()), u.in.timeLeft(now))
 	if remaining <= 0 {
 		u.release()
-		return u.refuse(CauseLate, "its time was over before the start")
+		return u.refuse(CauseLate, "the deadline of the request passed before it was sent to the server")
 	}
 	if verdict := u.quarantined(now, request, body); verdict.Refused {
 		u.release()
@@ -35,23 +35,24 @@
 	}
 	ctx, cancel := u.context(remaining)
 	defer cancel()
-	toServer := u.request(ctx, request, body, remaining)
+	toServer := u.serverRequest(ctx, request, body, remaining)
 	u.parent = parent{item: u.item.ID, repeat: u.reservation.GetExtra() || u.reservation.GetRepeat(), workspace: u.reservation.GetWorkspace()}
 	u.id = toServer.Header.Get(u.in.server.Dialect.RequestID)
-	u.in.begin(u.id, &u.parent)
-	u.arrive(now)
+	u.in.beginRun(u.id, &u.parent)
+	u.chargeExtra(now)
 	u.began = time.Now()
-	answer, sent, err := u.in.pool.Do(ctx, toServer, func(unread func() bool) { u.in.sending(u.item.ID, unread) })
+	answer, sent, err := u.in.pool.Do(ctx, toServer, func(unread func() bool) { u.in.beginServerTime(u.item.ID, unread) })
 	if err != nil {
 		return u.fail(ctx, sent, err)
 	}
 	defer answer.Close()
-	return u.pass(ctx, answer)
+	return u.forwardAnswer(ctx, answer)
 }
 
-// arrive counts an extra arrival before the request goes to the server: its answer may come
-// much later, in another window of the bound. One that cannot be sent then counts too.
-func (u *use) arrive(now time.Time) {
+// chargeExtra charges an extra attempt to the budget before the request is sent, since the answer
+// may come much later, in another window of the budget. An attempt that then cannot be sent is
+// charged too.
+func (u *use) chargeExtra(now time.Time) {
 	u.in.mu.Lock()
 	defer u.in.mu.Unlock()
 	switch r := u.reservation; {
@@ -62,12 +63,13 @@
 	}
 }
 
-// serverSlack is how long after the request's own time a server may still
-// answer that the time is over.
+// serverSlack is how long after the request's deadline a server may still answer that the
+// deadline was exceeded.
 const serverSlack = 100 * time.Millisecond
 
-// context ends a request that may be repeated when its sender leaves. One that
-// may not is left to run: breaking it off gains nothing, it counts as run.
+// context returns the context of the run. A repeatable request is cancelled when its sender
+// disconnects. Any other request is left to run: cancelling it gains nothing, since it counts as
+// run.
 func (u *use) context(remaining time.Duration) (context.Context, context.CancelFunc) {
 	ctx := u.stream.Context()
 	if !u.reservation.GetRepeatable() {
@@ -76,15 +78,15 @@
 	return context.WithTimeout(ctx, remaining+serverSlack)
 }
 
-// request builds the server's request. Its target is sent as it came.
-func (u *use) request(ctx context.Context, from *slatewindv1.SlotRequest, body []byte, remaining time.Duration) *http.Request {
+// serverRequest builds the request to the server. The target is sent unchanged.
+func (u *use) serverRequest(ctx context.Context, from *slatewindv1.SlotRequest, body []byte, remaining time.Duration) *http.Request {
 	dialect := u.in.server.Dialect
 	header := http.Header{"User-Agent": {""}}
 	for _, h := range from.GetHeaders() {
 		header[h.GetName()] = append(header[h.GetName()], h.GetValue())
 	}
 	header.Set(dialect.Deadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
-	if expected := u.in.expected(from); expected != "" {
+	if expected := u.in.expectedServer(from); expected != "" {
 		header.Set(dialect.Expect, expected)
 	}
 	r := &http.Request{
@@ -110,21 +112,21 @@
 	if ctx.Err() != nil {
 		result = breaker.ResultNone
 	}
-	suspect := u.noteEnd(ctx, sent, err)
-	u.end(result, "no answer: "+err.Error())
+	suspect := u.recordServerExit(ctx, sent, err)
+	u.endRun(result, "no answer: "+err.Error())
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		u.in.ended()
+		u.in.connectionRefused()
 	}
 	return u.sendFailure(outcome, err.Error(), suspect)
 }
 
-// ended notes that nothing listens at the server's address. Where its VM is taken away the
-// server ends before its process, which then has no slots to give.
-func (in *Inbound) ended() {
+// connectionRefused records that the server's address refuses connections. When a VM is removed,
+// the server exits before its sidecar, which has no slots to grant from then on.
+func (in *Inbound) connectionRefused() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.stop != nil {
-		in.leave(time.Now(), "nothing listens at its address while its process stops")
+	if in.shutdown != nil {
+		in.startLeaving(time.Now(), "its address accepts no connections while the process beside it stops")
 	}
 }
 
@@ -133,18 +135,18 @@
 	return u.send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Failure{Failure: failure}})
 }
 
-// end notes the outcome of a run and gives the slot back.
-func (u *use) end(result breaker.Result, why string) {
+// endRun records the result of a run and releases the slot.
+func (u *use) endRun(result breaker.Result, why string) {
 	now := time.Now()
 	u.in.mu.Lock()
 	defer u.in.mu.Unlock()
 	delete(u.in.parents, u.id)
 	delete(u.in.unread, u.item.ID)
-	if result == breaker.ResultError && u.parent.blameless() {
+	if result == breaker.ResultError && u.parent.mayBeCallError() {
 		result = breaker.ResultNone
 	}
-	if u.in.judge(now).End(now, u.item.ID, result) {
-		u.in.noteBreaker(now, why)
+	if u.in.currentBreaker(now).End(now, u.item.ID, result) {
+		u.in.recordBreaker(now, why)
 	}
 	u.in.deliver(u.in.slots.Done(now, u.item, now.Sub(u.granted)))
 }
--- a/inbound/slots.go
+++ b/inbound/slots.go
@@ -11,27 +11,27 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// Units in which states travel.
+// Units of the fields of slatewindv1.SlotState.
 const (
 	percent = 100
 	tenths  = 10
 )
 
-// state returns what replies tell of the server. The lock is held.
+// state returns the server's state as sent in replies. in.mu must be held.
 func (in *Inbound) state() *slatewindv1.SlotState {
 	now := time.Now()
-	judgement := in.judge(now)
+	current := in.currentBreaker(now)
 	return &slatewindv1.SlotState{
 		InUse: uint32(in.slots.InUse()), Queued: uint32(in.slots.Queued()), Slots: uint32(in.slots.Slots()),
-		Health:         string(healthOf(judgement.State())),
-		Leaving:        in.away != "",
-		FailurePercent: uint32(math.Round(percent * (1 - judgement.Share()))), ShedPercent: uint32(math.Round(percent * judgement.Shed())),
-		SuspicionTenths: uint32(min(judgement.Suspicion(now), mostTold) * tenths),
-		LastsMs:         in.lastsMs(now),
+		Health:         string(healthOf(current.State())),
+		Leaving:        in.leavingReason != "",
+		FailurePercent: uint32(math.Round(percent * (1 - current.Share()))), ShedPercent: uint32(math.Round(percent * current.Shed())),
+		SuspicionTenths: uint32(min(current.Suspicion(now), maxReportedSuspicion) * tenths),
+		LastsMs:         in.remainingMs(now),
 	}
 }
 
-// Report returns what the process tells others of the server.
+// Report returns the server's state as published to other processes.
 func (in *Inbound) Report() *slatewindv1.ServerReport {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -40,11 +40,11 @@
 	}
 }
 
-// mostTold bounds the suspicion that is told; more says nothing more.
-const mostTold = 100
+// maxReportedSuspicion limits the reported suspicion; greater values carry no further information.
+const maxReportedSuspicion = 100
 
-// healthOf translates a breaker's state into the words of the messages, of which
-// the most frequent is empty.
+// healthOf converts a breaker's state to its value in messages. A closed breaker, the most
+// frequent state, is the empty string.
 func healthOf(state breaker.State) slatewind.ServerState {
 	switch state {
 	case breaker.StateOpen:
@@ -55,9 +55,9 @@
 	return ""
 }
 
-// noteBreaker writes down that the judgement changed; why is for a breaker that
-// opened. The lock is held.
-func (in *Inbound) noteBreaker(now time.Time, why string) {
+// recordBreaker writes a journal entry about a change of the breaker's state; why is the reason if
+// it opened. in.mu must be held.
+func (in *Inbound) recordBreaker(now time.Time, why string) {
 	kind := slatewind.DecisionEject
 	if in.breaker.State() == breaker.StateClosed {
 		kind, why = slatewind.DecisionReturn, "enough trials succeeded"
@@ -69,7 +69,7 @@
 	})
 }
 
-// deliver hands decisions to those who wait for them. The lock is held.
+// deliver sends decisions to the reservations that await them. in.mu must be held.
 func (in *Inbound) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		if d.Action == admission.ActionQueue {
@@ -82,26 +82,27 @@
 	}
 }
 
-// offer asks for a slot. It returns a refusal, or the item and the channel on
-// which its decision comes; that may be there at once.
+// offer requests a slot. It returns either a refusal, or the item and the channel on which its
+// decision is delivered; the decision may already be there.
 func (in *Inbound) offer(now time.Time, r *slatewindv1.Reservation) (admission.Item, *slatewindv1.Refusal, <-chan admission.Decision) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.earn(now, r)
-	if refusal := in.refuses(now, r); refusal != nil {
+	in.earnExtra(now, r)
+	if refusal := in.refusalFor(now, r); refusal != nil {
 		return admission.Item{}, refusal, nil
 	}
 	in.nextID++
 	item := admission.Item{
 		ID:       fmt.Sprint(in.nextID),
 		Priority: slatewind.PriorityInteractive,
-		// Within a rank, the workspace with the fewest requests in slots goes first, so that one
-		// that floods does not crowd out the others (package overload, one-workspace-floods).
+		// Within a rank, the workspace with the fewest requests in slots goes first, so that a
+		// workspace that floods the server does not starve the others (package overload,
+		// one-workspace-floods).
 		Customer: r.GetWorkspace(),
 		Rank:     r.GetRank(),
 		Begun:    r.GetBegun(),
-		// Its slots are held until the requests in them have no time left, up to ten
-		// seconds, although the server may be well again.
+		// Requests that hang hold their slots until their deadlines, for up to ten seconds,
+		// although the server may have recovered by then.
 		Beyond:   !askOf(r).Guarded() && in.breaker.Stuck(in.slots.Slots()),
 		Deadline: now.Add(time.Duration(r.GetRemainingMs()) * time.Millisecond),
 		StartBy:  now.Add(time.Duration(r.GetPatienceMs()) * time.Millisecond),
@@ -112,19 +113,19 @@
 	return item, nil, decision
 }
 
-// earn counts a request towards the bound on extra arrivals when it comes to its first
-// server, whatever becomes of it there: the operators' bound counts what callers sent and
-// when they did, and a request may wait for its slot into another window. Calls of servers
-// earn nothing. The lock is held.
-func (in *Inbound) earn(now time.Time, r *slatewindv1.Reservation) {
+// earnExtra credits a request to the budget of extra attempts when it arrives at the first server
+// that is asked, whatever its result there. The operators' limit counts the requests of callers
+// at the time at which they were sent, and a queued request may start in a later window. Nested
+// calls of servers earn nothing. in.mu must be held.
+func (in *Inbound) earnExtra(now time.Time, r *slatewindv1.Reservation) {
 	if r.GetFirst() && !r.GetBegun() && r.GetService() == in.server.Service {
 		in.extras.First(now)
 	}
 }
 
-// expected returns the identity that a request is sent for: the server's as it is
-// known here, since that is newer than the sender's, or else the sender's.
-func (in *Inbound) expected(r *slatewindv1.SlotRequest) string {
+// expectedServer returns the server name that a request is addressed to: the name known here,
+// which is more recent than the sender's, or the sender's if none is known.
+func (in *Inbound) expectedServer(r *slatewindv1.SlotRequest) string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.name != "" {
@@ -133,26 +134,26 @@
 	return r.GetServer()
 }
 
-// askOf returns what kind of request a reservation is for.
+// askOf returns the kind of request that a reservation is for, as the breaker needs it.
 func askOf(r *slatewindv1.Reservation) breaker.Ask {
 	return breaker.Ask{
 		Careful: r.GetCareful(), Scarce: r.GetScarce(), LastResort: r.GetLastResort(), Bears: float64(r.GetBearableTenths()) / tenths,
 	}
 }
 
-// refuses returns why the server may not get a request now, or nil. The lock is
-// held.
-func (in *Inbound) refuses(now time.Time, r *slatewindv1.Reservation) *slatewindv1.Refusal {
+// refusalFor returns the refusal of a reservation, or nil if the server may get the request now.
+// in.mu must be held.
+func (in *Inbound) refusalFor(now time.Time, r *slatewindv1.Reservation) *slatewindv1.Refusal {
 	switch {
 	case r.GetService() != in.server.Service:
 		return in.refusal(CauseMoved, "the server here belongs to service "+in.server.Service, 0)
-	case in.away != "":
-		return in.refusal(CauseLeaving, whyLeaving(in.away), 0)
-	case in.stop != nil && !in.givesSlots(now, expectedOf(r)):
-		return in.refusal(CauseStopping, stops, in.stop.BackIn(now))
-	case in.stop != nil && !in.stop.MayLend(now, expectedOf(r)):
-		// Shorter requests may still come, so this says nothing of the server.
-		return in.refusal(CauseLate, stops, 0)
+	case in.leavingReason != "":
+		return in.refusal(CauseLeaving, leavingText(in.leavingReason), 0)
+	case in.shutdown != nil && !in.grantsSlot(now, expectedTime(r)):
+		return in.refusal(CauseStopping, stoppingReason, in.shutdown.BackIn(now))
+	case in.shutdown != nil && !in.shutdown.MayGrant(now, expectedTime(r)):
+		// Shorter requests may still be granted, so the whole server is not reported as stopping.
+		return in.refusal(CauseLate, stoppingReason, 0)
 	case !in.allows(now, askOf(r)):
 		return in.refusal(CauseSick, "", in.breaker.RetryAfter(now))
 	case r.GetExtra() && !in.extras.Left(now):
@@ -161,38 +162,40 @@
 	return nil
 }
 
-// expectedOf returns how long a request is expected to take.
-func expectedOf(r *slatewindv1.Reservation) time.Duration {
+// expectedTime returns the expected service time of a request.
+func expectedTime(r *slatewindv1.Reservation) time.Duration {
 	return time.Duration(r.GetExpectedMs()) * time.Millisecond
 }
 
-// serverName returns the name of the server that runs here.
+// serverName returns the name of the server that is running here.
 func (in *Inbound) serverName() string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.name
 }
 
-// leaving returns why the server takes no new work, or nothing while it does.
+// leaving returns the reason why the server accepts no new requests, or an empty string if it
+// does.
 func (in *Inbound) leaving() string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.away == "" {
+	if in.leavingReason == "" {
 		return ""
 	}
-	return whyLeaving(in.away)
+	return leavingText(in.leavingReason)
 }
 
-func whyLeaving(reason string) string { return "the server is leaving: " + reason }
+func leavingText(reason string) string { return "the server is leaving: " + reason }
 
-// refusal returns a refusal with the server's state. The lock is held.
+// refusal returns a refusal with the server's state and counts it. in.mu must be held.
 func (in *Inbound) refusal(cause Cause, reason string, after time.Duration) *slatewindv1.Refusal {
 	in.idle.refused[cause]++
 	return &slatewindv1.Refusal{Cause: string(cause), Reason: reason, RetryAfterMs: uint32(after.Milliseconds()), State: in.state()}
 }
 
-// abandon takes a waiting reservation back, or its slot if it got one meanwhile.
-func (in *Inbound) abandon(item admission.Item, decision <-chan admission.Decision) {
+// cancelReservation removes a queued reservation, or releases its slot if it has got one in the
+// meantime.
+func (in *Inbound) cancelReservation(item admission.Item, decision <-chan admission.Decision) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.slots.Remove(item.ID) {
@@ -204,7 +207,7 @@
 	}
 }
 
-// release gives a slot back that no request used. The lock is held.
+// release releases a slot that no request used. in.mu must be held.
 func (in *Inbound) release(now time.Time, item admission.Item) {
 	in.deliver(in.slots.Done(now, item, in.slots.Mean()))
 }
--- a/inbound/stop.go
+++ b/inbound/stop.go
@@ -8,105 +8,107 @@
 	"slatewind.example/slatewind/drain"
 )
 
-// Drain begins the end of the process. The server is well, so its slots are given out as
-// long as the stop is open; else it would be without work for the whole stop.
-// callers reports whether the process has requests of callers in hand.
+// Drain starts the graceful shutdown of the process. The server itself is healthy, so its slots
+// are granted for as long as the schedule admits requests; otherwise the server would be idle
+// during the whole shutdown. callers reports whether requests of callers are in flight in this
+// process.
 func (in *Inbound) Drain(course drain.Course, callers func() bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.stop == nil {
-		in.stop, in.callers = &course, callers
-		in.noteLeaving(course.Began, stops)
+	if in.shutdown == nil {
+		in.shutdown, in.callersInFlight = &course, callers
+		in.recordLeaving(course.Began, stoppingReason)
 	}
 }
 
-// stops is why a process that is about to end refuses reservations.
-const stops = "the process beside the server stops"
+// stoppingReason is the reason in refusals of a process that is about to exit.
+const stoppingReason = "the process beside the server stops"
 
-// closeInTime refuses what waits for a slot when the stop closes, and while it gives out none. The
-// lock is held.
-func (in *Inbound) closeInTime(now time.Time) {
-	if in.stop == nil || in.stop.Open(now) || in.closed && in.givesSlots(now, 0) {
+// refuseQueued refuses the queued reservations when the shutdown stops admission, and later
+// whenever it grants no slots. in.mu must be held.
+func (in *Inbound) refuseQueued(now time.Time) {
+	if in.shutdown == nil || in.shutdown.Open(now) || in.queueRefused && in.grantsSlot(now, 0) {
 		return
 	}
-	in.closed = true
-	in.deliver(in.slots.RefuseAll(stops))
+	in.queueRefused = true
+	in.deliver(in.slots.RefuseAll(stoppingReason))
 }
 
-// lentBears is how much suspicion of the server is borne where a closed stop lends its slots.
-// One in twelve moments of a well server shows more.
-const lentBears = 2.5
+// maxStoppingSuspicion is the highest suspicion of the server at which slots are granted after
+// the shutdown has stopped admission. A healthy server exceeds it one twelfth of the time.
+const maxStoppingSuspicion = 2.5
 
-// givesSlots reports whether the stop gives a slot to a request that is expected to take so long. A
-// closed one lends none of a server that looks sick: what that does not finish is cut by the end of
-// the process. The lock is held.
-func (in *Inbound) givesSlots(now time.Time, expected time.Duration) bool {
-	if in.stop.Open(now) {
+// grantsSlot reports whether the shutdown still grants a slot to a request with the given
+// expected service time. After admission has stopped, a server that appears unhealthy gets none,
+// since requests that it does not complete are cut off when the process exits. in.mu must be
+// held.
+func (in *Inbound) grantsSlot(now time.Time, expected time.Duration) bool {
+	if in.shutdown.Open(now) {
 		return true
 	}
-	well := in.judge(now).Allow(now, breaker.Ask{Careful: true, Bears: lentBears})
-	return well && in.stop.GivesSlots(now, expected, in.work())
+	well := in.currentBreaker(now).Allow(now, breaker.Ask{Careful: true, Bears: maxStoppingSuspicion})
+	return well && in.shutdown.GrantsSlot(now, expected, in.pendingWork())
 }
 
-// work returns what holds the stop: the server's requests from before its close, and the callers'.
-// The lock is held.
-func (in *Inbound) work() drain.Work {
-	held := in.early
-	if in.callers() {
+// pendingWork returns the work that delays the exit of the process: the server's requests granted
+// before admission stopped, and the requests of callers, which count as one. in.mu must be held.
+func (in *Inbound) pendingWork() drain.Work {
+	held := in.beforeClose
+	if in.callersInFlight() {
 		held++
 	}
 	return drain.Work{Held: held, Mean: in.slots.Mean()}
 }
 
-// timeLeft returns how long the server may work on a request that begins now: where the process
-// stops, an answer that comes too late would be lost with it.
+// timeLeft returns how long the server may work on a request that starts now. During a shutdown,
+// an answer that arrives too late would be lost when the process exits.
 func (in *Inbound) timeLeft(now time.Time) time.Duration {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.stop == nil {
+	if in.shutdown == nil {
 		return math.MaxInt64
 	}
-	return in.stop.LastAnswer().Sub(now)
+	return in.shutdown.LastAnswer().Sub(now)
 }
 
-// lastsMs is how long the process still waits for answers, as it is told to others. The lock is
-// held.
-func (in *Inbound) lastsMs(now time.Time) uint32 {
-	if in.stop == nil {
+// remainingMs returns how long the process still waits for answers, in milliseconds as published to
+// other processes: at least 1 during a shutdown, otherwise 0. in.mu must be held.
+func (in *Inbound) remainingMs(now time.Time) uint32 {
+	if in.shutdown == nil {
 		return 0
 	}
-	return uint32(max(in.stop.Lasts(now).Milliseconds(), 1))
+	return uint32(max(in.shutdown.RemainingWait(now).Milliseconds(), 1))
 }
 
-// InHand returns how many reservations have no final reply yet. One whose request has run
-// frees its slot before the answer is on its way.
+// InHand returns the number of reservations without a final reply. A reservation releases its
+// slot when its request has run, before the answer has been sent.
 func (in *Inbound) InHand() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.inHand
+	return in.inFlight
 }
 
-// begin counts a reservation as in hand.
-func (u *use) begin() {
+// trackInFlight counts the reservation as in flight.
+func (u *use) trackInFlight() {
 	u.in.mu.Lock()
 	defer u.in.mu.Unlock()
-	u.in.inHand++
+	u.in.inFlight++
 }
 
-// noteGranted notes that the reservation got its slot. The lock is held.
-func (u *use) noteGranted() {
-	if u.in.stop == nil || u.in.stop.Open(u.granted) {
-		u.early = true
-		u.in.early++
+// recordGrant records that the reservation got its slot. in.mu must be held.
+func (u *use) recordGrant() {
+	if u.in.shutdown == nil || u.in.shutdown.Open(u.granted) {
+		u.beforeClose = true
+		u.in.beforeClose++
 	}
 }
 
-// finish counts a reservation as in hand no longer.
-func (u *use) finish() {
+// untrackInFlight no longer counts the reservation as in flight.
+func (u *use) untrackInFlight() {
 	u.in.mu.Lock()
 	defer u.in.mu.Unlock()
-	u.in.inHand--
-	if u.early {
-		u.in.early--
+	u.in.inFlight--
+	if u.beforeClose {
+		u.in.beforeClose--
 	}
 }
--- a/inbound/stop_test.go
+++ b/inbound/stop_test.go
@@ -13,19 +13,21 @@
 	"slatewind.example/slatewind/inbound"
 )
 
-// TestStopLendsNoSlotOfASickServer: a closed stop that waits for stragglers gives no slot of a server that hangs, since its process cuts at its end what the server does not finish.
-func TestStopLendsNoSlotOfASickServer(t *testing.T) {
-	p := newPlace(t)
+// TestShutdownGrantsNoSlotOfUnhealthyServer: a shutdown that has stopped admission and waits for
+// slow requests grants no slot of a server that hangs, since the process would cut off what the
+// server does not complete.
+func TestShutdownGrantsNoSlotOfUnhealthyServer(t *testing.T) {
+	p := newFixture(t)
 	p.hang(t)
 	lastResort := reservation()
 	lastResort.LastResort = true
 	p.awaitTrial(t)
-	p.Drain(stopSince(3*time.Second), func() bool { return true })
+	p.Drain(shutdownStartedAgo(3*time.Second), func() bool { return true })
 	assert.Equal(t, p.run(lastResort, "id"), string(inbound.CauseStopping))
 }
 
-// awaitTrial waits until a server that hangs gives a slot for a trial, which is given back.
-func (p *place) awaitTrial(t *testing.T) {
+// awaitTrial waits until a hanging server grants a slot for a trial, and releases the slot.
+func (p *fixture) awaitTrial(t *testing.T) {
 	t.Helper()
 	granted := func() bool {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -41,10 +43,12 @@
 	}
 }
 
-// TestStopLendsWhatEndsBefore: the server beside a process that long requests keep from ending gets short ones, which end before; else it would be without work for most of the stop.
-func TestStopLendsWhatEndsBefore(t *testing.T) {
+// TestShutdownGrantsShorterRequests: while long requests delay the exit of a process, the server
+// beside it gets shorter ones that end before them. Otherwise it would be idle for most of the
+// shutdown.
+func TestShutdownGrantsShorterRequests(t *testing.T) {
 	const mean = 200 * time.Millisecond
-	p := newPlace(t)
+	p := newFixture(t)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: 5})
 	p.server.SetDelay(mean)
 	for i := range 4 {
@@ -60,7 +64,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.server.SetDelay(0)
-	p.Drain(stopSince(2250*time.Millisecond), nobody)
+	p.Drain(shutdownStartedAgo(2250*time.Millisecond), noCallers)
 	assert.Equal(t, p.run(longReservation(1000), "longer"), string(inbound.CauseStopping))
 	assert.Equal(t, p.run(longReservation(100), "short"), "200 s-1 /x b")
 }
--- a/inbound/suspended_test.go
+++ b/inbound/suspended_test.go
@@ -15,8 +15,8 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestSuspendedGrant: a granted slot lapses and a request's time passes while the VM is suspended,
-// so that nothing starts late at its server.
+// TestSuspendedGrant: a granted slot expires and a request's deadline approaches while the VM is
+// suspended, so that nothing starts late at the server.
 func TestSuspendedGrant(t *testing.T) {
 	tests := map[string]struct {
 		suspended time.Duration
@@ -49,7 +49,7 @@
 			}}))
 			reply, err = use.Recv()
 			assert.NilError(t, err)
-			// Nothing listens at the server's address, so that a request which is sent fails.
+			// Nothing listens at the server's address, so a request that is sent fails.
 			assert.Equal(t, reply.GetRefusal().GetCause() == string(CauseLate), test.late, "%v", reply)
 			assert.Equal(t, reply.GetFailure() != nil, !test.late, "%v", reply)
 		})
--- a/inbound/unread.go
+++ b/inbound/unread.go
@@ -6,40 +6,41 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// lookPause is the least time between two looks for answers that wait to be read: each costs a
-// system call for each request that is late.
-const lookPause = 10 * time.Millisecond
+// minUnreadCheckInterval is the minimum time between two checks for unread answers: each check
+// costs a system call per overdue request.
+const minUnreadCheckInterval = 10 * time.Millisecond
 
-// sending begins the server's time, with the first byte of a request, and keeps what tells whether
-// bytes of the answer wait to be read.
-func (in *Inbound) sending(item string, unread func() bool) {
+// beginServerTime starts the server's time for an item, at the first byte of the request, and
+// stores unread, which reports whether bytes of the answer are waiting to be read.
+func (in *Inbound) beginServerTime(item string, unread func() bool) {
 	now := time.Now()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.judge(now).Start(now, item)
+	in.currentBreaker(now).Start(now, item)
 	in.unread[item] = unread
 }
 
-// lookForAnswers finds out which requests take long only since this process has not read their
-// answers yet. The lock is held.
-func (in *Inbound) lookForAnswers(now time.Time) {
-	if now.Sub(in.looked) < lookPause {
+// checkUnread finds the requests that appear overdue only because this process has not read
+// their answers yet. in.mu must be held.
+func (in *Inbound) checkUnread(now time.Time) {
+	if now.Sub(in.lastUnreadCheck) < minUnreadCheckInterval {
 		return
 	}
-	in.looked = now
-	judgement := in.judge(now)
-	for _, item := range judgement.Late(now) {
+	in.lastUnreadCheck = now
+	current := in.currentBreaker(now)
+	for _, item := range current.Late(now) {
 		if unread := in.unread[item]; unread != nil {
-			judgement.SetUnread(now, item, unread())
+			current.SetUnread(now, item, unread())
 		}
 	}
 }
 
-// allows reports whether the judgement lets a request through. The lock is held.
+// allows reports whether the breaker admits a request. If it does not, unread answers are checked
+// for and the breaker is asked again. in.mu must be held.
 func (in *Inbound) allows(now time.Time, ask breaker.Ask) bool {
-	if in.judge(now).Allow(now, ask) {
+	if in.currentBreaker(now).Allow(now, ask) {
 		return true
 	}
-	in.lookForAnswers(now)
+	in.checkUnread(now)
 	return in.breaker.Allow(now, ask)
 }
--- a/inbound/use.go
+++ b/inbound/use.go
@@ -13,35 +13,35 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// maxBody bounds a request's body in bytes, whatever the sender says.
+// maxBody is the maximum size of a request's body in bytes, whatever length the sender states.
 const maxBody = 64 << 20
 
-// use is one reservation on its way.
+// use handles one stream of the RPC Slots.Use: a reservation and the request that follows it.
 type use struct {
 	in          *Inbound
 	stream      link.UseStream
 	reservation *slatewindv1.Reservation
 	item        admission.Item
-	// expires is the end of the request's time and lapses that of its granted slot, also where the
-	// VM was suspended meanwhile; granted is when it got that.
-	expires, lapses timer.Instant
-	granted         time.Time
-	// early says that the slot was granted before a stop closed.
-	early bool
-	// id is the caller's id of the request, parent what its calls came to.
+	// expires is the deadline of the request and grantExpires that of its granted slot; both also
+	// count the time during which the VM was suspended. granted is when the slot was granted.
+	expires, grantExpires timer.Instant
+	granted               time.Time
+	// beforeClose reports that the slot was granted before a shutdown stopped admission.
+	beforeClose bool
+	// id is the caller's ID of the request, parent the state of its nested calls.
 	id     string
 	parent parent
-	// payment is what an extra arrival was paid from.
+	// payment is the part of the budget from which an extra attempt was paid.
 	payment retry.Payment
-	// digest stands for the request that is sent to the server, trial says that it is let
-	// through to see whether servers end under it still.
+	// digest returns the digest of the request for quarantine. trial reports that a quarantined
+	// request was admitted to test whether servers still exit while running it.
 	digest func() quarantine.Digest
 	trial  bool
-	// began is when the server could first see it.
+	// began is the earliest time at which the server can have received the request.
 	began time.Time
 }
 
-// serve takes the reservation through its steps. The error concerns the stream.
+// serve handles the reservation and its request. The error is one of the stream.
 func (u *use) serve() error {
 	granted, err := u.reserve()
 	if !granted || err != nil {
@@ -50,7 +50,7 @@
 	request, body, err := u.receive()
 	if err != nil {
 		u.release()
-		if errors.Is(err, errTooLate) {
+		if errors.Is(err, errGrantExpired) {
 			return u.refuse(CauseLate, "the granted slot was not used in time")
 		}
 		return err
@@ -58,7 +58,7 @@
 	return u.run(request, body)
 }
 
-// reserve waits for a slot. granted says that one is held.
+// reserve waits for a slot. granted reports that the reservation holds one.
 func (u *use) reserve() (granted bool, err error) {
 	now := time.Now()
 	u.expires = u.in.clock.Now().Add(time.Duration(u.reservation.GetRemainingMs()) * time.Millisecond)
@@ -69,39 +69,39 @@
 	u.item = item
 	select {
 	case d := <-decision:
-		return u.decided(d)
+		return u.handleDecision(d)
 	default:
 	}
 	if err := u.send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Queued{Queued: u.state()}}); err != nil {
-		u.in.abandon(item, decision)
+		u.in.cancelReservation(item, decision)
 		return false, err
 	}
 	select {
 	case d := <-decision:
-		return u.decided(d)
+		return u.handleDecision(d)
 	case <-u.stream.Context().Done():
-		u.in.abandon(item, decision)
+		u.in.cancelReservation(item, decision)
 		return false, u.stream.Context().Err()
 	}
 }
 
-// decided tells the sender what became of its reservation. While it waited the
-// server may have become sick.
-func (u *use) decided(d admission.Decision) (granted bool, err error) {
+// handleDecision reports the decision about the reservation to the sender. The server may have
+// become unhealthy while the reservation was queued, so the checks are repeated.
+func (u *use) handleDecision(d admission.Decision) (granted bool, err error) {
 	if d.Action != admission.ActionStart {
 		return false, u.refuseFull(d)
 	}
-	u.granted, u.lapses = time.Now(), u.in.clock.Now().Add(grantTime)
+	u.granted, u.grantExpires = time.Now(), u.in.clock.Now().Add(grantTime)
 	u.in.mu.Lock()
-	refusal := u.in.refuses(u.granted, u.reservation)
+	refusal := u.in.refusalFor(u.granted, u.reservation)
 	if refusal != nil {
 		u.in.release(u.granted, u.item)
 	} else {
-		u.noteGranted()
+		u.recordGrant()
 		if u.reservation.GetExtra() {
 			u.payment = u.in.extras.Take(u.granted)
 		}
-		u.in.judge(u.granted).Grant(u.granted, u.item.ID, u.reservation.GetRoute(), expectedOf(u.reservation))
+		u.in.currentBreaker(u.granted).Grant(u.granted, u.item.ID, u.reservation.GetRoute(), expectedTime(u.reservation))
 	}
 	u.in.mu.Unlock()
 	if refusal != nil {
@@ -114,12 +114,12 @@
 	return err == nil, err
 }
 
-// release gives back a slot that was granted and not used.
+// release releases a granted slot that was not used.
 func (u *use) release() {
 	now := time.Now()
 	u.in.mu.Lock()
 	defer u.in.mu.Unlock()
-	u.in.judge(now).End(now, u.item.ID, breaker.ResultNone)
+	u.in.currentBreaker(now).End(now, u.item.ID, breaker.ResultNone)
 	u.in.extras.Return(u.payment)
 	u.in.idle.unused++
 	u.in.release(now, u.item)
@@ -146,26 +146,26 @@
 	return u.sendRefusal(refusal)
 }
 
-// refuseFull passes on that no slot was free, or that none will be since the
-// server is leaving.
+// refuseFull refuses a reservation that got no slot, because none became free in time or because
+// the server or this process accepts no further requests.
 func (u *use) refuseFull(d admission.Decision) error {
 	cause, reason, after := CauseFull, "", d.RetryAfter
 	u.in.mu.Lock()
 	switch {
-	case u.in.away != "":
+	case u.in.leavingReason != "":
 		cause = CauseLeaving
-	case d.Reason == stops:
-		cause, reason, after = CauseStopping, stops, u.in.stop.BackIn(time.Now())
+	case d.Reason == stoppingReason:
+		cause, reason, after = CauseStopping, stoppingReason, u.in.shutdown.BackIn(time.Now())
 	}
 	refusal := u.in.refusal(cause, reason, after)
 	u.in.mu.Unlock()
 	return u.sendRefusal(refusal)
 }
 
-// errTooLate: the request came too long after its slot was granted.
-var errTooLate = Error.New("the request came too late")
+// errGrantExpired is returned if the request arrives after its granted slot has expired.
+var errGrantExpired = Error.New("the request arrived after its granted slot had expired")
 
-// receive waits for the request that uses the slot.
+// receive waits for the request that uses the granted slot.
 func (u *use) receive() (*slatewindv1.SlotRequest, []byte, error) {
 	type received struct {
 		request *slatewindv1.SlotRequest
@@ -181,12 +181,12 @@
 	defer timeout.Stop()
 	select {
 	case r := <-result:
-		if r.err == nil && u.in.clock.Now().After(u.lapses) {
-			return nil, nil, errTooLate
+		if r.err == nil && u.in.clock.Now().After(u.grantExpires) {
+			return nil, nil, errGrantExpired
 		}
 		return r.request, r.body, r.err
 	case <-timeout.C:
-		return nil, nil, errTooLate
+		return nil, nil, errGrantExpired
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	request := message.GetRequest()
 	if request == nil || request.GetBodyLength() > maxBody {
-		return nil, nil, Error.New("a granted reservation is followed by a request of at most %d bytes", maxBody)
+		return nil, nil, Error.New("invalid request after the grant: want a request with a body of at most %d bytes", maxBody)
 	}
 	body := request.GetBody()
 	for int64(len(body)) < request.GetBodyLength() {
--- a/inbound/view.go
+++ b/inbound/view.go
@@ -10,14 +10,14 @@
 	Server  string `json:"server"`
 	Address string `json:"address"`
 	Leaving string `json:"leaving,omitempty"`
-	// Stopping says that the process beside the server is about to end.
+	// Stopping reports that the process beside the server is shutting down.
 	Stopping bool          `json:"stopping,omitempty"`
 	Breaker  breaker.State `json:"breaker"`
 	Score    float64       `json:"score"`
 	InUse    int           `json:"in_use"`
 	Queued   int           `json:"queued"`
 	Slots    int           `json:"slots"`
-	// Connections is how many were opened to the server so far.
+	// Connections is the total number of connections that were opened to the server.
 	Connections uint64 `json:"connections_opened"`
 }
 
@@ -26,7 +26,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return View{
-		Service: in.server.Service, Server: in.name, Address: in.server.Address, Leaving: in.away, Stopping: in.stop != nil,
+		Service: in.server.Service, Server: in.name, Address: in.server.Address, Leaving: in.leavingReason, Stopping: in.shutdown != nil,
 		Breaker: in.breaker.State(), Score: in.breaker.Score(),
 		InUse: in.slots.InUse(), Queued: in.slots.Queued(), Slots: in.slots.Slots(), Connections: in.pool.Opened(),
 	}
