--- a/outbound/acquire.go
+++ b/outbound/acquire.go
@@ -13,141 +13,141 @@
 	"slatewind.example/slatewind/search"
 )
 
-// patience returns until when an attempt that begins now may wait for a slot.
-func (rq *request) patience(now time.Time, again bool) time.Time {
-	return now.Add(search.Patience(rq.remaining(now), rq.objective(), again || rq.call != nil))
+// slotDeadline returns the time until which an attempt that starts now may wait for a slot.
+func (rq *request) slotDeadline(now time.Time, retry bool) time.Time {
+	return now.Add(search.Patience(rq.remaining(now), rq.objective(), retry || rq.call != nil))
 }
 
-// held is a granted slot.
-type held struct {
+// grantedSlot is a slot that was granted to a request.
+type grantedSlot struct {
 	server choice.Candidate
 	use    link.Use
 	cancel context.CancelFunc
 }
 
-// aim says which servers an attempt may go to.
-type aim struct {
-	// tried are passed over.
+// attemptOptions states which servers an attempt may use, and how.
+type attemptOptions struct {
+	// tried holds the names of the servers to skip.
 	tried map[string]bool
-	// ask says what the attempt may do to servers that look sick.
+	// ask states whether the attempt may be sent to unhealthy servers.
 	ask breaker.Ask
-	// extra says that a server has seen the request before, or may see it.
+	// extra reports that a server has received the request before, or may still receive it.
 	extra bool
-	// again says that a server has seen the request and gave no final answer.
-	again bool
-	// sent is called with the name of the server before the request goes there.
-	sent func(server string)
+	// retry reports that a server has received the request and gave no final response.
+	retry bool
+	// onSent is called with the name of the server before the request is sent to it.
+	onSent func(server string)
 }
 
-// look is one look for a slot: it makes the reservations that a search decides about.
-type look struct {
+// slotSearch is one search for a slot. It makes the reservations that search.Search decides on.
+type slotSearch struct {
 	o      *Outbound
 	rq     *request
-	aim    aim
+	opts   attemptOptions
 	until  time.Time
 	ctx    context.Context
 	search *search.Search
 	events chan event
 	// open holds the reservations without a final reply.
-	open map[*pending]bool
-	// last says why the newest refused reservation was, and lastServer by which
-	// server; retryAfter is the least time after which a slot may be free.
-	last       string
+	open map[*pendingReservation]bool
+	// lastReason is why the latest reservation failed or the search ended, lastServer the server
+	// of that reservation; retryAfter is the shortest time after which a slot may be free.
+	lastReason string
 	lastServer string
 	retryAfter time.Duration
-	// refusals counts the refused reservations by their cause.
+	// refusals counts the refused reservations by cause.
 	refusals map[inbound.Cause]int
 }
 
-// eventsHeld is how many replies to reservations wait for the look without holding those up
-// who read them. More of them come seldom; their readers wait.
-const eventsHeld = 8
+// eventBuffer is the number of replies to reservations that are buffered without blocking the
+// goroutines that read them. More replies are rare; their readers block.
+const eventBuffer = 8
 
-// acquire looks for a slot for a request until a time. Where there is none, the
-// outcome says why.
-func (o *Outbound) acquire(ctx context.Context, rq *request, aim aim, until time.Time) (*held, *final) {
-	l := &look{
-		o: o, rq: rq, aim: aim, until: until, ctx: ctx, open: map[*pending]bool{}, refusals: map[inbound.Cause]int{},
+// acquire searches for a slot for a request until the given time. If it finds none, the result
+// states the reason.
+func (o *Outbound) acquire(ctx context.Context, rq *request, opts attemptOptions, until time.Time) (*grantedSlot, *requestResult) {
+	s := &slotSearch{
+		o: o, rq: rq, opts: opts, until: until, ctx: ctx, open: map[*pendingReservation]bool{}, refusals: map[inbound.Cause]int{},
 		search: search.New(search.Request{
-			Rank: rq.route.GetRank(), Ask: aim.ask, Extra: aim.extra, Tried: aim.tried, Until: until,
-			Scarce: rq.shard.deniedWithin(time.Now(), scarceMemory),
+			Rank: rq.route.GetRank(), Ask: opts.ask, Extra: opts.extra, Tried: opts.tried, Until: until,
+			Scarce: rq.shard.deniedWithin(time.Now(), scarceAfterDenial),
 		}),
 	}
-	defer l.close()
-	patience := time.NewTimer(time.Until(until))
-	defer patience.Stop()
+	defer s.close()
+	deadline := time.NewTimer(time.Until(until))
+	defer deadline.Stop()
 	for {
-		slot, over := l.round(patience.C)
+		slot, over := s.round(deadline.C)
 		if slot != nil {
-			why := l.noUse()
+			why := s.unusableReason()
 			if why == "" {
 				return slot, nil
 			}
-			l.giveBack(slot)
-			l.last, over = why, true
+			s.releaseSlot(slot)
+			s.lastReason, over = why, true
 		}
-		pause, again := l.search.Again(time.Now())
-		if over || !again || !l.pause(pause) {
-			return nil, l.refusal()
+		pause, again := s.search.Again(time.Now())
+		if over || !again || !s.pause(pause) {
+			return nil, s.refusal()
 		}
 	}
 }
 
-// pause waits; it reports false if the request ended or its caller left meanwhile.
-func (l *look) pause(d time.Duration) bool {
+// pause sleeps for d. It reports false if the request ended or its caller disconnected meanwhile.
+func (s *slotSearch) pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-l.ctx.Done():
-	case <-l.rq.left:
+	case <-s.ctx.Done():
+	case <-s.rq.callerDone:
 	}
 	return false
 }
 
-// noUse says why a slot that was granted is not to be used, or nothing.
-func (l *look) noUse() string {
+// unusableReason returns why a granted slot must not be used, or "" if it may be.
+func (s *slotSearch) unusableReason() string {
 	switch {
-	case l.rq.abandoned():
-		return "the caller left"
-	case !l.o.mayStart(l.rq):
-		return stops
-	case l.rq.remaining(time.Now()) <= 0:
-		return "its time was over before it was sent"
-	case l.o.quarantined(time.Now(), l.rq):
+	case s.rq.callerGone():
+		return "the caller disconnected"
+	case !s.o.mayStart(s.rq):
+		return reasonStopping
+	case s.rq.remaining(time.Now()) <= 0:
+		return "the request's time was over before it was sent"
+	case s.o.quarantined(time.Now(), s.rq):
 		return string(inbound.CauseQuarantined)
 	}
 	return ""
 }
 
-// giveBack returns a slot that was granted and is not used.
-func (l *look) giveBack(slot *held) {
+// releaseSlot returns a granted slot that is not used.
+func (s *slotSearch) releaseSlot(slot *grantedSlot) {
 	slot.cancel()
-	l.rq.shard.update(func(c *choice.Service) { c.Ended(slot.server.ID()) })
+	s.rq.shard.update(func(c *choice.Service) { c.Ended(slot.server.ID()) })
 }
 
-// reason says why the look found no slot: the newest refusal, and how many there were of
-// each cause.
-func (l *look) reason() string {
-	if len(l.refusals) == 0 {
-		return l.last
+// reason returns why the search found no slot: the latest refusal and the number of refusals by
+// cause.
+func (s *slotSearch) reason() string {
+	if len(s.refusals) == 0 {
+		return s.lastReason
 	}
-	return fmt.Sprintf("%s (of all refusals: %d full, %d sick, %d leaving, %d stopping, %d moved, %d budget)", l.last,
-		l.refusals[inbound.CauseFull], l.refusals[inbound.CauseSick], l.refusals[inbound.CauseLeaving],
-		l.refusals[inbound.CauseStopping], l.refusals[inbound.CauseMoved], l.refusals[inbound.CauseBudget])
+	return fmt.Sprintf("%s (of all refusals: %d full, %d sick, %d leaving, %d stopping, %d moved, %d budget)", s.lastReason,
+		s.refusals[inbound.CauseFull], s.refusals[inbound.CauseSick], s.refusals[inbound.CauseLeaving],
+		s.refusals[inbound.CauseStopping], s.refusals[inbound.CauseMoved], s.refusals[inbound.CauseBudget])
 }
 
-// refusal is the outcome of a look without a slot.
-func (l *look) refusal() *final {
-	survey := l.rq.shard.survey(time.Now(), l.rq, l.aim, l.search.Asked())
-	if l.last == "" {
-		l.last = noReply(survey)
+// refusal returns the result of a search that found no slot.
+func (s *slotSearch) refusal() *requestResult {
+	survey := s.rq.shard.survey(time.Now(), s.rq, s.opts, s.search.Asked())
+	if s.lastReason == "" {
+		s.lastReason = noReply(survey)
 	}
-	return &final{outcome: slatewind.OutcomeNotRun, reason: l.reason(), server: l.lastServer, retryAfter: l.retryAfter, survey: survey}
+	return &requestResult{outcome: slatewind.OutcomeNotRun, reason: s.reason(), server: s.lastServer, retryAfter: s.retryAfter, survey: survey}
 }
 
-// noReply says why a look that no reply came to found no slot.
+// noReply returns why a search that received no reply found no slot.
 func noReply(survey choice.Survey) string {
 	switch {
 	case survey.Known == 0:
@@ -158,88 +158,88 @@
 	return "no server that was asked replied in time"
 }
 
-// round asks one server after the other, in the order of their cost. over says that waiting
-// longer is no use.
-func (l *look) round(patience <-chan time.Time) (slot *held, over bool) {
-	l.aim.ask = l.search.Ask()
-	l.search.Begin(l.rq.shard.order(time.Now(), l.rq, l.aim))
-	l.events = make(chan event, eventsHeld)
-	l.ask()
+// round asks the servers one after another, in ascending order of cost. over reports that further
+// waiting is useless.
+func (s *slotSearch) round(deadline <-chan time.Time) (slot *grantedSlot, over bool) {
+	s.opts.ask = s.search.Ask()
+	s.search.Begin(s.rq.shard.order(time.Now(), s.rq, s.opts))
+	s.events = make(chan event, eventBuffer)
+	s.reserveNext()
 	silent := time.NewTicker(search.SilentAfter)
 	defer silent.Stop()
-	widen := time.NewTimer(search.WidenAfter(l.rq.objective()))
+	widen := time.NewTimer(search.WidenAfter(s.rq.objective()))
 	defer widen.Stop()
-	for len(l.open) > 0 {
+	for len(s.open) > 0 {
 		select {
-		case e := <-l.events:
-			if slot := l.take(e); slot != nil {
+		case e := <-s.events:
+			if slot := s.handleReply(e); slot != nil {
 				return slot, false
 			}
-			if l.search.DeniedEnough() {
+			if s.search.DeniedEnough() {
 				return nil, true
 			}
 		case <-silent.C:
-			if !l.o.mayStart(l.rq) {
-				l.last = stops
+			if !s.o.mayStart(s.rq) {
+				s.lastReason = reasonStopping
 				return nil, true
 			}
-			l.askIf(l.search.Silent(time.Now()))
+			s.reserveNextIf(s.search.Silent(time.Now()))
 		case <-widen.C:
-			l.askIf(l.search.Widen())
-		case <-patience:
+			s.reserveNextIf(s.search.Widen())
+		case <-deadline:
 			return nil, true
-		case <-l.rq.left:
-			l.last = "the caller left"
+		case <-s.rq.callerDone:
+			s.lastReason = "the caller disconnected"
 			return nil, true
-		case <-l.ctx.Done():
+		case <-s.ctx.Done():
 			return nil, true
 		}
 	}
 	return nil, false
 }
 
-// askIf asks the next server where the search wants that.
-func (l *look) askIf(more bool) {
+// reserveNextIf asks the next server if more is true.
+func (s *slotSearch) reserveNextIf(more bool) {
 	if more {
-		l.ask()
+		s.reserveNext()
 	}
 }
 
-// take handles one reply. It returns the slot if one was granted.
-func (l *look) take(e event) *held {
-	if !l.open[e.of] {
+// handleReply handles one reply. It returns the slot if one was granted.
+func (s *slotSearch) handleReply(e event) *grantedSlot {
+	if !s.open[e.reservation] {
 		return nil
 	}
-	l.search.Heard(e.of.question)
+	s.search.Heard(e.reservation.question)
 	switch {
 	case e.err != nil:
-		l.unreached(e)
-	case e.reply.GetGranted() != nil && !l.rq.shard.takes(e.of.server().ID()):
-		// The process beside the server may be cut off and not know.
-		l.left(e)
-	case e.reply.GetGranted() != nil && l.o.outlasts(time.Now(), l.rq, e.reply.GetGranted()):
-		l.endsBefore(e)
+		s.handleUnreachable(e)
+	case e.reply.GetGranted() != nil && !s.rq.shard.acceptsWork(e.reservation.server().ID()):
+		// The process beside the server may be partitioned and not know that the server is leaving.
+		s.declineLeaving(e)
+	case e.reply.GetGranted() != nil && s.o.outlasts(time.Now(), s.rq, e.reply.GetGranted()):
+		s.declineStopping(e)
 	case e.reply.GetGranted() != nil:
-		delete(l.open, e.of)
-		l.heard(e.of.server().ID(), toldOf(e.reply.GetGranted()))
-		return &held{server: e.of.server(), use: e.use, cancel: e.of.cancel}
+		delete(s.open, e.reservation)
+		s.recordState(e.reservation.server().ID(), stateOf(e.reply.GetGranted()))
+		return &grantedSlot{server: e.reservation.server(), use: e.use, cancel: e.reservation.cancel}
 	case e.reply.GetQueued() != nil:
-		l.heard(e.of.server().ID(), toldOf(e.reply.GetQueued()))
-		l.askIf(l.search.Queued(e.of.question))
+		s.recordState(e.reservation.server().ID(), stateOf(e.reply.GetQueued()))
+		s.reserveNextIf(s.search.Queued(e.reservation.question))
 	default:
-		l.refused(e)
+		s.handleRefusal(e)
 	}
 	return nil
 }
 
-// close ends all reservations but the one that was granted. Processes that
-// never replied are avoided for a while.
-func (l *look) close() {
+// close ends all reservations except the granted one. Processes that never replied are avoided for
+// a while.
+func (s *slotSearch) close() {
 	now := time.Now()
-	for a := range l.open {
-		l.end(a)
-		if a.question.Unheard(now) {
-			l.rq.shard.update(func(c *choice.Service) { c.Silent(now, a.server().ID()) })
+	for p := range s.open {
+		s.end(p)
+		if p.question.Unheard(now) {
+			s.rq.shard.update(func(c *choice.Service) { c.Silent(now, p.server().ID()) })
 		}
 	}
 }
--- a/outbound/dispatch.go
+++ b/outbound/dispatch.go
@@ -12,41 +12,39 @@
 )
 
 const (
-	// answerSlack is how long after a request's time a server's own answer may
-	// still come.
+	// answerSlack is how long after a request's deadline the server's response may still arrive.
 	answerSlack = 150 * time.Millisecond
-	// defaultAttempts is the number of attempts where a route states none, the
-	// first included.
+	// defaultAttempts is the number of attempts, including the first, if the route sets none.
 	defaultAttempts = 2
-	// hedgeShare is the share of its objective, and hedgeFactor the multiple of its
-	// route's mean, after which a repeatable request that a server has and does not
-	// answer is sent to a second one as well. While it waits for its slot it is
-	// not: a second place in the queues would only add to the load.
-	hedgeShare  = 0.75
-	hedgeFactor = 2.5
-	// hedgeAgainShare is the share of its objective after which a second server
-	// is looked for again where none could take the request.
-	hedgeAgainShare = 0.25
+	// hedgeObjectiveShare is the share of the objective, and hedgeMeanFactor the multiple of the
+	// route's mean time, after which a repeatable request that a server has received and not
+	// answered is hedged, that is, sent to a second server as well. A request that still waits for
+	// a slot is not hedged: a second place in the queues would only add load.
+	hedgeObjectiveShare = 0.75
+	hedgeMeanFactor     = 2.5
+	// hedgeRetryShare is the share of the objective after which another hedge is tried if no
+	// server could take the last one.
+	hedgeRetryShare = 0.25
 )
 
-// result is what became of one attempt.
-type result struct {
-	final
-	// arrived says that a server has seen the request.
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	requestResult
+	// arrived reports whether a server received the request.
 	arrived bool
 }
 
-// dispatch decides about a request until its final answer.
-func (o *Outbound) dispatch(ctx context.Context, rq *request) final {
-	rq.left = ctx.Done()
+// dispatch runs the attempts at a request and returns its result.
+func (o *Outbound) dispatch(ctx context.Context, rq *request) requestResult {
+	rq.callerDone = ctx.Done()
 	if !rq.repeatable() {
-		// Its caller may leave; what a server has seen goes on, since breaking it
-		// off does not undo it. A search for a slot ends by rq.left.
+		// A request that a server has received continues if the caller disconnects, since cancelling
+		// it does not undo it. A search for a slot ends with rq.callerDone.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := rq.context(ctx)
 	defer context.AfterFunc(o.ended, cancel)()
-	d := &dispatch{o: o, rq: rq, ctx: ctx, results: make(chan result, maxTries), sent: make(chan string, maxTries), tried: map[string]bool{}}
+	d := &dispatch{o: o, rq: rq, ctx: ctx, results: make(chan attemptResult, maxTries), sent: make(chan string, maxTries), tried: map[string]bool{}}
 	f := d.run()
 	if f.answer == nil {
 		cancel()
@@ -57,30 +55,30 @@
 	return f
 }
 
-// maxTries bounds the attempts at one request, refused ones included.
+// maxTries limits the attempts at one request, including refused ones.
 const maxTries = 8
 
-// dispatch is the state of one request's attempts.
+// dispatch is the state of the attempts at one request.
 type dispatch struct {
 	o       *Outbound
 	rq      *request
 	ctx     context.Context
-	results chan result
-	// sent brings the name of each server that the request is sent to.
+	results chan attemptResult
+	// sent receives the name of each server to which the request is sent.
 	sent  chan string
 	tried map[string]bool
-	// active counts attempts without a result, tries all attempts, arrivals
-	// those that a server has seen.
+	// active counts the attempts in progress, tries all attempts, arrivals the attempts whose
+	// request a server has received.
 	active, tries, arrivals int
-	// mayHaveRun says that some attempt is not proved not to have run.
+	// mayHaveRun reports whether any attempt lacks proof that the request did not run.
 	mayHaveRun bool
-	// best is a server's own error answer, kept in case nothing better comes.
-	best *final
+	// best is a server's own error response, returned if no better one arrives.
+	best *requestResult
 }
 
-// run starts the first attempt, and others after failures or a long wait, until
-// one result is final.
-func (d *dispatch) run() final {
+// run starts the first attempt, and further ones after failures or when a hedge is due, until the
+// request has a result.
+func (d *dispatch) run() requestResult {
 	d.start()
 	hedge := time.NewTimer(d.rq.remaining(time.Now()))
 	defer hedge.Stop()
@@ -88,7 +86,7 @@
 		select {
 		case r := <-d.results:
 			d.active--
-			if f, done := d.take(r); done {
+			if f, done := d.handleResult(r); done {
 				return f
 			}
 		case server := <-d.sent:
@@ -96,48 +94,48 @@
 			hedge.Reset(d.rq.hedgeAfter())
 		case <-hedge.C:
 			d.hedge()
-			hedge.Reset(time.Duration(hedgeAgainShare * float64(d.rq.objective())))
+			hedge.Reset(time.Duration(hedgeRetryShare * float64(d.rq.objective())))
 		case <-d.ctx.Done():
-			return d.ended()
+			return d.finishOnDone()
 		}
 	}
 }
 
-// hedgeAfter returns how long a request that was just sent waits for its answer
-// before it is sent to a second server.
+// hedgeAfter returns how long a request that was just sent waits for its response before it is
+// hedged.
 func (rq *request) hedgeAfter() time.Duration {
-	left := time.Duration(hedgeShare*float64(rq.objective())) - time.Since(rq.began)
-	return max(left, time.Duration(hedgeFactor*float64(rq.shard.meanOf(rq.route.GetName()))))
+	left := time.Duration(hedgeObjectiveShare*float64(rq.objective())) - time.Since(rq.began)
+	return max(left, time.Duration(hedgeMeanFactor*float64(rq.shard.meanTime(rq.route.GetName()))))
 }
 
-// hedge sends a repeatable request that has no answer yet to a second server.
+// hedge sends a repeatable request that has not been answered yet to a second server.
 func (d *dispatch) hedge() {
 	if d.rq.repeatable() && d.active == 1 && d.mayRepeat() {
-		d.note(slatewind.DecisionHedge, "", "no answer after most of its objective")
+		d.journalExtra(slatewind.DecisionHedge, "", "no answer after most of its objective")
 		d.start()
 	}
 }
 
-// ended is the outcome of a request whose time is over or whose caller left.
-// The attempts end with it, so that their results come at once.
-func (d *dispatch) ended() final {
+// finishOnDone returns the result of a request whose time is over or whose caller disconnected. The
+// attempts end with the context, so their results arrive immediately.
+func (d *dispatch) finishOnDone() requestResult {
 	for ; d.active > 0; d.active-- {
 		r := <-d.results
 		if r.answer != nil {
-			return r.final
+			return r.requestResult
 		}
-		d.learn(r)
+		d.recordArrival(r)
 	}
 	if d.best != nil {
-		d.noteError(result{final: final{reason: "its time was over or its caller left"}})
+		d.journalServerError(attemptResult{requestResult: requestResult{reason: "the request's time was over or the caller disconnected"}})
 		return *d.best
 	}
-	f := final{outcome: slatewind.OutcomeNotRun, reason: "no answer in the request's time", timedOut: true}
+	f := requestResult{outcome: slatewind.OutcomeNotRun, reason: "no answer in the request's time", timedOut: true}
 	switch {
 	case d.o.ended.Err() != nil:
 		f.reason, f.timedOut = "the process stops", false
 	case errors.Is(d.ctx.Err(), context.Canceled):
-		f.reason = "the caller left"
+		f.reason = "the caller disconnected"
 	}
 	if d.mayHaveRun {
 		f.outcome = slatewind.OutcomeUnknown
@@ -145,8 +143,8 @@
 	return f
 }
 
-// learn notes whether a server has seen the request and may have run it.
-func (d *dispatch) learn(r result) {
+// recordArrival records whether a server received the request and may have run it.
+func (d *dispatch) recordArrival(r attemptResult) {
 	if !r.arrived {
 		return
 	}
@@ -155,35 +153,36 @@
 	d.mayHaveRun = d.mayHaveRun || r.outcome != slatewind.OutcomeNotRun
 }
 
-// start begins an attempt.
+// start starts an attempt.
 func (d *dispatch) start() {
 	d.active++
 	d.tries++
-	to := aim{
-		tried: maps.Clone(d.tried), ask: d.ask(), extra: d.tries > 1, again: d.arrivals > 0,
-		sent: func(server string) { d.sent <- server },
+	opts := attemptOptions{
+		tried: maps.Clone(d.tried), ask: d.trialOptions(), extra: d.tries > 1, retry: d.arrivals > 0,
+		onSent: func(server string) { d.sent <- server },
 	}
-	go func() { d.results <- d.o.attempt(d.ctx, d.rq, to) }()
+	go func() { d.results <- d.o.attempt(d.ctx, d.rq, opts) }()
 }
 
-// ask says whether the attempt that begins may be a trial of a server that looks sick: it
-// must be the first, and another attempt must be left after it.
-func (d *dispatch) ask() breaker.Ask {
+// trialOptions returns whether the attempt being started may serve as a trial of an unhealthy
+// server: only the first attempt at a repeatable request may, and only if another attempt is left
+// after it. Scarce reports that an extra attempt was denied a short time ago.
+func (d *dispatch) trialOptions() breaker.Ask {
 	return breaker.Ask{
 		Careful: !d.rq.repeatable() || d.tries > 1 || d.rq.attempts() < 2,
-		Scarce:  d.rq.shard.deniedWithin(time.Now(), denyMemory),
+		Scarce:  d.rq.shard.deniedWithin(time.Now(), trialPauseAfterDenial),
 	}
 }
 
-// Causes for which an extra attempt is not made.
+// Causes for which an extra attempt is denied.
 const (
 	deniedAttempts = "attempts"
 	deniedTime     = "time"
 	deniedBound    = "bound"
 )
 
-// mayRepeat reports whether the request may be sent to one more server, if that
-// one's process has an extra arrival left.
+// mayRepeat reports whether the request may be sent to one more server, provided that the process
+// beside that server still grants an extra attempt.
 func (d *dispatch) mayRepeat() bool {
 	switch {
 	case d.arrivals+d.active >= d.rq.attempts(), d.tries >= maxTries:
@@ -196,40 +195,40 @@
 	return false
 }
 
-// take handles the result of one attempt; done says that f is final.
-func (d *dispatch) take(r result) (f final, done bool) {
-	d.learn(r)
+// handleResult handles the result of one attempt; done reports that f is the request's result.
+func (d *dispatch) handleResult(r attemptResult) (f requestResult, done bool) {
+	d.recordArrival(r)
 	failed := r.answer != nil && r.answer.head.GetStatus() >= slatewind.MinServerErrorStatus
 	switch {
 	case r.answer != nil && !failed:
-		return r.final, true
+		return r.requestResult, true
 	case failed:
-		d.best = &r.final
+		d.best = &r.requestResult
 	case d.o.quarantined(time.Now(), d.rq):
-		return d.quarantine(r), true
+		return d.finishQuarantined(r), true
 	}
 	if d.rq.repeatable() || r.outcome == slatewind.OutcomeNotRun {
-		if d.again(r) {
-			return final{}, false
+		if d.retry(r) {
+			return requestResult{}, false
 		}
 	}
 	if d.active > 0 {
-		return final{}, false
+		return requestResult{}, false
 	}
 	if d.best != nil {
-		d.noteError(r)
+		d.journalServerError(r)
 		return *d.best, true
 	}
 	if d.mayHaveRun {
-		// A refused second attempt proves nothing of the first.
+		// The refusal of a later attempt does not prove that an earlier one did not run.
 		r.outcome = slatewind.OutcomeUnknown
 	}
-	return r.final, true
+	return r.requestResult, true
 }
 
-// noteError writes down that the caller gets a server's own error answer, and what came of the
-// last attempt, so that no failed request is without a line.
-func (d *dispatch) noteError(last result) {
+// journalServerError records that the caller gets a server's own error response, and the reason why
+// the last attempt failed, so that every failed request has a journal entry.
+func (d *dispatch) journalServerError(last attemptResult) {
 	reason := fmt.Sprintf("the server answered with status %d", d.best.status())
 	if last.answer == nil {
 		reason += "; the last attempt: " + last.reason
@@ -237,10 +236,10 @@
 	d.journal(slatewind.DecisionServerError, d.best.server, reason)
 }
 
-// again starts another attempt after a failed one, if that is allowed. A refused
-// reservation was the end of a long search; only what was sent is tried again.
-func (d *dispatch) again(r result) bool {
-	if !r.arrived || d.ctx.Err() != nil || d.rq.abandoned() {
+// retry starts another attempt after a failed one, if allowed. Only a request that was sent is
+// retried: an attempt that found no slot has already searched for long.
+func (d *dispatch) retry(r attemptResult) bool {
+	if !r.arrived || d.ctx.Err() != nil || d.rq.callerGone() {
 		return false
 	}
 	if !d.mayRepeat() {
@@ -250,18 +249,18 @@
 	if r.answer != nil {
 		reason = fmt.Sprintf("the server answered with status %d", r.answer.head.GetStatus())
 	}
-	d.note(slatewind.DecisionRetry, r.server, reason)
+	d.journalExtra(slatewind.DecisionRetry, r.server, reason)
 	d.start()
 	return true
 }
 
-// note counts and writes down an attempt beyond the first.
-func (d *dispatch) note(kind slatewind.DecisionKind, server, reason string) {
+// journalExtra counts and records an attempt after the first.
+func (d *dispatch) journalExtra(kind slatewind.DecisionKind, server, reason string) {
 	d.o.meter.Extra(d.rq.service, string(kind))
 	d.journal(kind, server, reason)
 }
 
-// journal writes down a decision about the request.
+// journal records a decision about the request.
 func (d *dispatch) journal(kind slatewind.DecisionKind, server, reason string) {
 	d.o.journal.Add(slatewind.Decision{
 		Time: time.Now(), Kind: kind, Service: d.rq.service, Server: server, Request: d.rq.id, Reason: reason,
--- a/outbound/modeldecision_test.go
+++ b/outbound/modeldecision_test.go
@@ -13,9 +13,9 @@
 type did uint8
 
 const (
-	didTake did = iota
-	didLearn
-	didEnd
+	didHandleResult did = iota
+	didRecordArrival
+	didFinish
 	didHedge
 )
 
@@ -37,21 +37,21 @@
 }
 
 // decide has the real dispatch decide, once for each case.
-func (m *reservationModel) decide(key decisionKey, r result) decision {
+func (m *reservationModel) decide(key decisionKey, r attemptResult) decision {
 	key.outcome, key.arrived = r.outcome, r.arrived
 	if r.answer != nil {
 		key.status = r.answer.head.GetStatus()
 	}
 	known, ok := m.decisions[key]
 	if !ok {
-		known = decideReally(m.kind, key, r)
+		known = runDispatch(m.kind, key, r)
 		m.decisions[key] = known
 	}
 	return known
 }
 
 // decideReally drives the dispatch itself. Attempts that it starts find no server.
-func decideReally(kind slatewind.Kind, key decisionKey, r result) decision {
+func runDispatch(kind slatewind.Kind, key decisionKey, r attemptResult) decision {
 	o := New(Self{}, slatewind.CallerHeaders{}, nil, silent{}, nil, nil, silent{}, nil, nil, quarantine.NewTable(nil, nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -64,14 +64,14 @@
 	}
 	rq := &request{
 		route:   &slatewindv1.Route{Kind: string(kind), Attempts: routeAttempts},
-		service: "svc", shard: o.shard("svc"), began: time.Now(), deadline: time.Now().Add(time.Hour), left: left,
+		service: "svc", shard: o.shard("svc"), began: time.Now(), deadline: time.Now().Add(time.Hour), callerDone: left,
 	}
 	d := &dispatch{
-		o: o, rq: rq, ctx: ctx, results: make(chan result, maxTries), sent: make(chan string, maxTries), tried: map[string]bool{},
+		o: o, rq: rq, ctx: ctx, results: make(chan attemptResult, maxTries), sent: make(chan string, maxTries), tried: map[string]bool{},
 		active: int(key.dispatch.active), tries: int(key.dispatch.tries), arrivals: int(key.dispatch.arrivals), mayHaveRun: key.dispatch.mayHaveRun,
 	}
 	if key.dispatch.best {
-		d.best = &final{outcome: slatewind.OutcomeAnswer}
+		d.best = &requestResult{outcome: slatewind.OutcomeAnswer}
 	}
 	f, done := d.doOne(key.did, r)
 	after := modelDispatch{uint8(d.active), uint8(d.tries), uint8(d.arrivals), d.mayHaveRun, d.best != nil}
@@ -83,21 +83,21 @@
 }
 
 // doOne calls one function of the dispatch.
-func (d *dispatch) doOne(what did, r result) (f final, done bool) {
+func (d *dispatch) doOne(what did, r attemptResult) (f requestResult, done bool) {
 	switch what {
-	case didTake:
-		return d.take(r)
-	case didLearn:
-		d.learn(r)
+	case didHandleResult:
+		return d.handleResult(r)
+	case didRecordArrival:
+		d.recordArrival(r)
 	case didHedge:
 		d.hedge()
-	case didEnd:
+	case didFinish:
 		if d.active > 0 {
 			d.results <- r
 		}
-		return d.ended(), true
+		return d.finishOnDone(), true
 	}
-	return final{}, false
+	return requestResult{}, false
 }
 
 // silent counts and writes nothing.
--- a/outbound/modelsteps_test.go
+++ b/outbound/modelsteps_test.go
@@ -44,7 +44,7 @@
 	if s.over && !s.ending {
 		to := s
 		to.ending = true
-		m.end(&to, result{}, false)
+		m.end(&to, attemptResult{}, false)
 		step("the ingress notices that the time is over", to)
 	}
 	m.hedge(s, step)
@@ -71,13 +71,13 @@
 			step("a server is asked for a slot", to)
 		}
 		if r.replies[0] != replyNone {
-			m.hear(s, a, i, step)
+			m.readReply(s, a, i, step)
 		}
 	}
 	// Patience ends, no server is left, or the caller or the time is gone.
 	to := s
 	to.shut(a, modelServers)
-	m.ended(&to, a, result{final: final{outcome: slatewind.OutcomeNotRun}})
+	m.ended(&to, a, attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeNotRun}})
 	step("a search ends without a slot", to)
 }
 
@@ -100,8 +100,8 @@
 	}
 }
 
-// hear reads one reply of a search (search.take, Outbound.acquire).
-func (m *reservationModel) hear(s modelState, a, i int, step func(string, modelState)) {
+// readReply reads one reply of a search (search.take, Outbound.acquire).
+func (m *reservationModel) readReply(s modelState, a, i int, step func(string, modelState)) {
 	r := &s.reservations[a][i]
 	granted := r.pop() == replyGranted
 	switch {
@@ -110,7 +110,7 @@
 		step("a search hears of no slot", s)
 	case s.left && m.without != callerLookedAt:
 		s.shut(a, modelServers)
-		m.ended(&s, a, result{final: final{outcome: slatewind.OutcomeNotRun}})
+		m.ended(&s, a, attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeNotRun}})
 		step("a slot is given back, since its caller has left", s)
 	default:
 		s.sentLeft = s.sentLeft || s.left
@@ -154,8 +154,8 @@
 }
 
 // result is what a reply says of a request that was sent (Outbound.run, Outbound.read).
-func (m *reservationModel) result(reply modelReply) result {
-	r := result{final: final{outcome: slatewind.OutcomeUnknown}, arrived: true}
+func (m *reservationModel) result(reply modelReply) attemptResult {
+	r := attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeUnknown}, arrived: true}
 	switch reply {
 	case replyRefused, replyNotRun:
 		r.outcome = slatewind.OutcomeNotRun
@@ -172,7 +172,7 @@
 }
 
 // ended gives an attempt's result to the dispatch (dispatch.run).
-func (m *reservationModel) ended(s *modelState, a int, r result) {
+func (m *reservationModel) ended(s *modelState, a int, r attemptResult) {
 	s.attempts[a] = attemptOver
 	if s.ending {
 		m.end(s, r, true)
@@ -182,7 +182,7 @@
 		s.dispatch.mayHaveRun = false
 	}
 	s.dispatch.active--
-	d := m.decide(decisionKey{dispatch: s.dispatch, did: didTake, left: s.left, over: s.over}, r)
+	d := m.decide(decisionKey{dispatch: s.dispatch, did: didHandleResult, left: s.left, over: s.over}, r)
 	if m.without == proofBeforeRepeat && r.arrived && r.answer == nil && d.done && s.dispatch.tries < modelAttempts {
 		d.done = false
 		d.after.active++
@@ -193,16 +193,16 @@
 
 // end goes on with a dispatch whose time is over (dispatch.ended): it waits for the results
 // of all attempts. heard says that r is one.
-func (m *reservationModel) end(s *modelState, r result, heard bool) {
+func (m *reservationModel) end(s *modelState, r attemptResult, heard bool) {
 	switch {
 	case m.without == endWaits && !heard:
 		s.dispatch.active = 0
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didEnd, left: s.left, over: true}, r))
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didFinish, left: s.left, over: true}, r))
 	case heard && s.dispatch.active > 1 && r.answer == nil:
 		s.dispatch.active--
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didLearn, left: s.left, over: true}, r))
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didRecordArrival, left: s.left, over: true}, r))
 	case heard || s.dispatch.active == 0:
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didEnd, left: s.left, over: true}, r))
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didFinish, left: s.left, over: true}, r))
 	}
 }
 
@@ -212,7 +212,7 @@
 	if s.ending || s.attempts[0] != attemptSent || s.dispatch.tries > 1 {
 		return
 	}
-	d := m.decide(decisionKey{dispatch: s.dispatch, did: didHedge, left: s.left, over: s.over}, result{})
+	d := m.decide(decisionKey{dispatch: s.dispatch, did: didHedge, left: s.left, over: s.over}, attemptResult{})
 	if d.after.tries > s.dispatch.tries {
 		m.apply(&s, d)
 		step("a second server is asked as well", s)
--- a/outbound/outbound.go
+++ b/outbound/outbound.go
@@ -1,13 +1,12 @@
-// Package outbound takes the requests that begin on this VM, chooses a server
-// for each, and answers.
+// Package outbound implements the ingress: it accepts the requests of the callers on this VM,
+// selects a backend server for each and returns the response.
 //
-// A request is sent in two steps: a reservation at the process beside a server,
-// and, once a slot is granted, the request itself. Reservations that are
-// refused, or not answered, cost a round trip and prove that nothing ran, so the
-// next server is asked at once; where all are full, the request waits at a few
-// of them and takes the first slot. Only what happens after the request was
-// sent differs by kind: a repeatable request may go to another server, within
-// the fleet's budget of extra attempts; a single one only with a proof that it
+// A request is sent in two steps: a reservation at the process beside a server and, once a slot
+// is granted, the request itself. A reservation that is refused or not answered costs one round
+// trip and proves that the request did not run, so the next server is asked immediately. If all
+// servers are full, the request queues at a few of them and takes the first slot granted. Only the
+// handling after the request was sent depends on its kind: a repeatable request may be sent to
+// another server, within the fleet's budget of extra attempts; a single one only with proof that it
 // did not run.
 package outbound
 
@@ -29,121 +28,123 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// Error is the class of errors of this package.
+// Error is the error class of this package.
 var Error = errs.Class("outbound")
 
-// Opener opens streams for reservations to the process beside a server.
+// Opener opens reservation streams to the process beside a server.
 type Opener interface {
 	Open(ctx context.Context, server slatewind.ServerEntry) (link.Use, error)
 }
 
-// Meter counts what became of requests.
+// Meter records metrics about requests.
 type Meter interface {
-	// Request counts a request's outcome; route is empty where none was found.
+	// Request counts a request by its outcome; route is empty if no route matched.
 	Request(route string, outcome slatewind.Outcome, took time.Duration)
-	// Workspace counts a request that needs a key, by what was decided about its sender.
+	// Workspace counts a request that requires a key, by the admission decision about its workspace.
 	Workspace(name string, admission Admission)
-	// Extra counts an attempt beyond the first; why is the kind of decision.
+	// Extra counts an attempt after the first; why is the kind of decision that caused it.
 	Extra(service, why string)
-	// Denied counts an attempt beyond the first that was not made, by its cause.
+	// Denied counts an attempt after the first that was not made, by cause.
 	Denied(service, cause string)
-	// Quarantined counts a request that was refused since servers ended under it.
+	// Quarantined counts a request that was refused because servers ended while running it.
 	Quarantined(service string)
 }
 
-// Admission says what was decided about the sender of a request.
+// Admission is the decision about the workspace that sends a request.
 type Admission string
 
-// Admissions.
+// Values of Admission.
 const (
 	AdmissionAllowed   Admission = "allowed"
 	AdmissionNoKey     Admission = "no-key"
 	AdmissionOverLimit Admission = "over-limit"
-	// AdmissionUnknown: no process that knows the workspace's use answered.
+	// AdmissionUnknown means that no process that tracks the workspace's usage answered.
 	AdmissionUnknown Admission = "unknown"
 )
 
-// Reports takes what the processes beside servers say when they refuse requests.
+// Reports receives the server states that are reported with refused reservations.
 type Reports interface {
-	// Heard says that a server is sick and when it is to get its next trial.
+	// Heard records that a server is unhealthy and how long until its next trial.
 	Heard(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration)
 }
 
-// Self says where an ingress stands.
+// Self identifies the ingress.
 type Self struct {
 	DataCentre string
-	// Service is that of the VM, by which its requests are known to servers.
+	// Service is the service of the servers on this VM. Servers receive it as the calling service.
 	Service string
 }
 
-// Outbound is an ingress: the http.Handler of the callers on this VM. It is safe
-// for use by several goroutines.
+// Outbound is the ingress, the http.Handler for the callers on this VM. It is safe for
+// concurrent use.
 type Outbound struct {
-	self    Self
-	dialect slatewind.CallerHeaders
-	store   *config.Store
-	journal slatewind.Journal
-	links   Opener
-	calls   slatewind.NestedCalls
-	meter   Meter
-	reports Reports
-	limiter slatewind.Limiter
-	// clock counts the time too in which the VM was suspended.
+	self        Self
+	headerNames slatewind.CallerHeaders
+	store       *config.Store
+	journal     slatewind.Journal
+	links       Opener
+	calls       slatewind.NestedCalls
+	meter       Meter
+	reports     Reports
+	limiter     slatewind.Limiter
+	// clock includes the time during which the VM was suspended.
 	clock timer.Clock
-	// suspects are requests under which servers ended.
+	// suspects holds the requests during which servers ended.
 	suspects *quarantine.Table
 
-	mu     sync.RWMutex
+	// mu guards shards, servers, nameByAddress and superseded.
+	mu sync.RWMutex
+	// shards holds the state of each service by its name.
 	shards map[string]*shard
-	// servers holds by their names where the known servers belong, places which of them
-	// runs at an address.
-	servers map[string]home
-	places  map[string]string
-	// overtaken holds by their addresses servers at which one runs that started later.
-	overtaken map[string]slatewind.ServerEntry
-
+	// servers holds the known servers by name, nameByAddress the name of the server that runs
+	// at an address.
+	servers       map[string]knownServer
+	nameByAddress map[string]string
+	// superseded holds, by address, servers whose address is in use by a server that started later.
+	superseded map[string]slatewind.ServerEntry
+
+	// splitMu guards splits, which holds the splitters by route and settings version.
 	splitMu sync.Mutex
 	splits  map[string]*splitter
 
-	// ended is over once requests are answered as they stand.
+	// ended is done once all requests must be completed immediately, see End.
 	ended context.Context
 	end   context.CancelFunc
 
-	// stop is the course of the process's stop, nil before it.
+	// stop describes the shutdown in progress; nil if there is none.
 	stop atomic.Pointer[drain.Course]
-	// inFlight counts the requests in hand, callsInFlight those of them that the server
-	// beside the process makes for others that it runs.
+	// inFlight counts the requests in flight, callsInFlight those of them that are nested calls
+	// of the server beside this process.
 	inFlight, callsInFlight atomic.Int64
 }
 
-// New returns an ingress that knows no servers yet. Its settings come from store.
-func New(self Self, dialect slatewind.CallerHeaders, store *config.Store, journal slatewind.Journal, links Opener, calls slatewind.NestedCalls, meter Meter, reports Reports, limiter slatewind.Limiter, suspects *quarantine.Table) *Outbound {
+// New returns an ingress without any known servers. It takes its settings from store.
+func New(self Self, headerNames slatewind.CallerHeaders, store *config.Store, journal slatewind.Journal, links Opener, calls slatewind.NestedCalls, meter Meter, reports Reports, limiter slatewind.Limiter, suspects *quarantine.Table) *Outbound {
 	ended, end := context.WithCancel(context.Background())
 	return &Outbound{
-		self: self, dialect: dialect, store: store, journal: journal, links: links, calls: calls, meter: meter, reports: reports, limiter: limiter, suspects: suspects, ended: ended, end: end,
-		shards: map[string]*shard{}, servers: map[string]home{}, places: map[string]string{}, overtaken: map[string]slatewind.ServerEntry{}, splits: map[string]*splitter{},
+		self: self, headerNames: headerNames, store: store, journal: journal, links: links, calls: calls, meter: meter, reports: reports, limiter: limiter, suspects: suspects, ended: ended, end: end,
+		shards: map[string]*shard{}, servers: map[string]knownServer{}, nameByAddress: map[string]string{}, superseded: map[string]slatewind.ServerEntry{}, splits: map[string]*splitter{},
 	}
 }
 
-// End answers all requests that are in hand, and those that still come, as they stand:
-// those that no server has seen are refused, of the others it is unknown whether they
-// ran. The process is about to end.
+// End completes all requests in flight, and those that still arrive, in their present state: requests
+// that no server has received are refused, all others end with an unknown outcome. It is called
+// just before the process exits.
 func (o *Outbound) End() {
 	o.end()
 }
 
-// InFlight returns how many callers wait for an answer.
+// InFlight returns the number of requests that are waiting for a response.
 func (o *Outbound) InFlight() int {
 	return int(o.inFlight.Load())
 }
 
-// HasCallers reports whether requests are in hand other than calls.
+// HasCallers reports whether any requests other than nested calls are in flight.
 func (o *Outbound) HasCallers() bool {
 	return o.inFlight.Load() > o.callsInFlight.Load()
 }
 
-// HostOf returns the host of a host:port address without its port, or the
-// address itself where it has none.
+// HostOf returns the host of a host:port address, or the address itself if it has no port.
 func HostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/outbound/quarantine.go
+++ b/outbound/quarantine.go
@@ -8,29 +8,31 @@
 	"slatewind.example/slatewind/link"
 )
 
-// quarantined reports whether a request must not be sent, since servers ended under it.
+// quarantined reports whether a request must not be sent because servers ended while running it.
 func (o *Outbound) quarantined(now time.Time, rq *request) bool {
 	return o.suspects.Check(now, rq.digest).Refused
 }
 
-// refuseQuarantined is the outcome of a request that is not sent since servers ended under it.
-func (o *Outbound) refuseQuarantined(now time.Time, rq *request) final {
+// refuseQuarantined returns the result of a request that is not sent because servers ended while
+// running it.
+func (o *Outbound) refuseQuarantined(now time.Time, rq *request) requestResult {
 	verdict := o.suspects.Check(now, rq.digest)
-	return final{
+	return requestResult{
 		outcome: slatewind.OutcomeNotRun, quarantine: verdict, retryAfter: verdict.TrialIn,
 		reason: verdict.Reason(rq.digest()),
 	}
 }
 
-// hearSuspect takes what the process beside a server knows of a request.
-func (o *Outbound) hearSuspect(suspect *slatewindv1.Suspect) {
+// recordSuspect records what the process beside a server reported about a suspected request; suspect
+// may be nil.
+func (o *Outbound) recordSuspect(suspect *slatewindv1.Suspect) {
 	if suspect != nil {
 		o.suspects.Take(time.Now(), link.RecordsOf([]*slatewindv1.Suspect{suspect}))
 	}
 }
 
-// quarantine ends a request that an attempt showed to be one under which servers end.
-func (d *dispatch) quarantine(r result) final {
+// finishQuarantined returns the result of a request that became quarantined during an attempt.
+func (d *dispatch) finishQuarantined(r attemptResult) requestResult {
 	f := d.o.refuseQuarantined(time.Now(), d.rq)
 	f.server = r.server
 	if d.mayHaveRun {
--- a/outbound/reply.go
+++ b/outbound/reply.go
@@ -15,87 +15,86 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// rejection is a request that is refused before anything is sent.
+// rejection is the error for a request that is refused before anything is sent to a server.
 type rejection struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
-	// evidence holds the figures that decided, if there are any.
+	// evidence holds the figures on which the rejection is based, if any.
 	evidence string
 }
 
 // Error implements error.
 func (r *rejection) Error() string { return r.reason }
 
-// reject answers a request that cannot be sent anywhere.
+// reject responds to a request that cannot be sent to any server.
 func (o *Outbound) reject(w http.ResponseWriter, r *http.Request, err error) {
 	rejected := &rejection{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &rejected)
 	o.meter.Request("", slatewind.OutcomeNotRun, 0)
 	o.journal.Add(slatewind.Decision{
-		Time: time.Now(), Kind: slatewind.DecisionRefuse, Request: r.Header.Get(o.dialect.RequestID), Reason: rejected.reason,
+		Time: time.Now(), Kind: slatewind.DecisionRefuse, Request: r.Header.Get(o.headerNames.RequestID), Reason: rejected.reason,
 		Evidence: strings.TrimSpace(fmt.Sprintf("status=%d version=%d %s", rejected.status, o.store.Version().Revision, rejected.evidence)),
 	})
-	o.writeOwn(w, r.Header.Get(o.dialect.RequestID), rejected.status, rejected.reason, rejected.retryAfter)
+	o.writeError(w, r.Header.Get(o.headerNames.RequestID), rejected.status, rejected.reason, rejected.retryAfter)
 }
 
-// retryAfterDecimals is how exactly callers are told when to come back: in
-// hundredths of a second.
+// retryAfterDecimals is the precision of Retry-After: hundredths of a second.
 const retryAfterDecimals = 2
 
-// writeOwn writes an answer that is not a server's.
-func (o *Outbound) writeOwn(w http.ResponseWriter, id string, status int, reason string, retryAfter time.Duration) {
+// writeError writes a response that does not come from a server.
+func (o *Outbound) writeError(w http.ResponseWriter, id string, status int, reason string, retryAfter time.Duration) {
 	if id != "" {
-		w.Header().Set(o.dialect.RequestID, id)
+		w.Header().Set(o.headerNames.RequestID, id)
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		seconds := max(retryAfter, leastRetryAfter).Seconds()
+		seconds := max(retryAfter, minRetryAfter).Seconds()
 		w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', retryAfterDecimals, 64))
 	}
 	http.Error(w, reason, status)
 }
 
-// final is what becomes of a request.
-type final struct {
+// requestResult is the result of a request, or of one attempt at it.
+type requestResult struct {
 	outcome    slatewind.Outcome
 	reason     string
 	retryAfter time.Duration
 	server     string
-	// survey counts the servers that the last search asked, where it found no slot.
+	// survey counts the servers asked and not asked by the last search; set if that found no slot.
 	survey choice.Survey
-	// quarantine says why the request was not sent, where servers ended under it.
+	// quarantine is the verdict because of which the request was not sent, if it is quarantined.
 	quarantine quarantine.Verdict
-	// timedOut says that the request's time ended while a server had it.
+	// timedOut reports that the request's time ended while a server was handling it.
 	timedOut bool
-	// answer is set for OutcomeAnswer.
+	// answer is set if the outcome is OutcomeAnswer.
 	answer *answer
 }
 
-// status returns that of the server's answer, 0 where there is none.
-func (f *final) status() int32 {
+// status returns the status of the server's response, or 0 if there is none.
+func (f *requestResult) status() int32 {
 	if f.answer == nil {
 		return 0
 	}
 	return f.answer.head.GetStatus()
 }
 
-// served reports whether the outcome is a server's answer and no error of its own.
-func (f *final) served() bool {
+// served reports whether a server responded with a status other than a server error.
+func (f *requestResult) served() bool {
 	return f.answer != nil && f.answer.head.GetStatus() < slatewind.MinServerErrorStatus
 }
 
-// surveyed returns the counts of the last search, where it found no slot.
-func (f *final) surveyed() string {
+// surveyText returns the counts of the last search, or "" if there are none.
+func (f *requestResult) surveyText() string {
 	if f.survey.Known == 0 {
 		return ""
 	}
 	return " " + f.survey.String()
 }
 
-// statusOf returns the status of an answer that is not a server's, for an outcome. A request
-// that is proved to end servers is refused as bad, so that its caller does not send it again;
-// where a single one may have run, nothing is said about that.
-func (rq *request) statusOf(f final) int {
+// statusOf returns the HTTP status for a result without a server's response. A request that is proven
+// to end servers gets 400, so that its caller does not send it again; but not a single request
+// that may have run, since 400 would say that it did not.
+func (rq *request) statusOf(f requestResult) int {
 	switch {
 	case f.quarantine.Proven && (f.outcome == slatewind.OutcomeNotRun || rq.repeatable()):
 		return http.StatusBadRequest
@@ -107,10 +106,10 @@
 	return http.StatusBadGateway
 }
 
-// answer gives a caller the outcome of its request.
-func (o *Outbound) answer(w http.ResponseWriter, rq *request, f final) {
+// answer writes the result of a request to its caller.
+func (o *Outbound) answer(w http.ResponseWriter, rq *request, f requestResult) {
 	if f.outcome == slatewind.OutcomeAnswer {
-		o.passOn(w, rq, f)
+		o.forwardAnswer(w, rq, f)
 		return
 	}
 	kind, status := slatewind.DecisionRefuse, rq.statusOf(f)
@@ -123,14 +122,15 @@
 	o.journal.Add(slatewind.Decision{
 		Time: time.Now(), Kind: kind, Service: rq.service, Server: f.server, Request: rq.id, Reason: f.reason,
 		Evidence: fmt.Sprintf("route=%s kind=%s status=%d took=%s version=%d%s",
-			rq.route.GetName(), rq.kind(), status, time.Since(rq.began).Round(time.Millisecond), rq.snapshot.Version.Revision, f.surveyed()),
+			rq.route.GetName(), rq.kind(), status, time.Since(rq.began).Round(time.Millisecond), rq.snapshot.Version.Revision, f.surveyText()),
 	})
-	o.writeOwn(w, rq.id, status, f.reason, f.retryAfter)
+	o.writeError(w, rq.id, status, f.reason, f.retryAfter)
 }
 
-// passOn gives the server's own answer to the caller. One that breaks off while
-// it is passed on cuts the caller's connection, so that it cannot look whole.
-func (o *Outbound) passOn(w http.ResponseWriter, rq *request, f final) {
+// forwardAnswer writes the server's response to the caller. If the response breaks off while it is
+// being forwarded, the caller's connection is closed, so that the caller cannot take the response
+// for complete.
+func (o *Outbound) forwardAnswer(w http.ResponseWriter, rq *request, f requestResult) {
 	defer f.answer.close()
 	header := w.Header()
 	for _, h := range f.answer.head.GetHeaders() {
@@ -139,17 +139,17 @@
 		}
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		// Without this the library would guess one.
+		// Otherwise net/http would detect a content type.
 		header["Content-Type"] = nil
 	}
-	if f.answer.rest == nil {
+	if f.answer.readRest == nil {
 		header.Set("Content-Length", strconv.Itoa(len(f.answer.body)))
 	}
 	w.WriteHeader(int(f.answer.head.GetStatus()))
 	_, err := w.Write(f.answer.body)
-	for err == nil && f.answer.rest != nil {
+	for err == nil && f.answer.readRest != nil {
 		var chunk []byte
-		if chunk, err = f.answer.rest(); err == nil {
+		if chunk, err = f.answer.readRest(); err == nil {
 			_, err = w.Write(chunk)
 		}
 	}
@@ -160,7 +160,7 @@
 		Time: time.Now(), Kind: slatewind.DecisionUnknown, Service: rq.service, Server: f.server, Request: rq.id,
 		Reason: "the answer broke off while it was passed on: " + err.Error(),
 	})
-	if f.answer.rest != nil {
+	if f.answer.readRest != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/outbound/request.go
+++ b/outbound/request.go
@@ -20,22 +20,21 @@
 )
 
 const (
-	// defaultTimeout is a request's time where neither caller nor route state one.
+	// defaultTimeout applies if neither the caller nor the route sets a timeout.
 	defaultTimeout = 5 * time.Second
-	// objectivePart of a request's time is its objective where the route states
-	// none: a half.
-	objectivePart = 2
-	// defaultBodyBytes bounds a body where settings state no limit, in bytes.
+	// defaultObjectiveDivisor sets the objective of routes without one: half of the request's time.
+	defaultObjectiveDivisor = 2
+	// defaultBodyBytes limits the size of a body, in bytes, if the settings set no limit.
 	defaultBodyBytes = 64 << 20
-	// leastRetryAfter keeps refused callers from coming back at once.
-	leastRetryAfter = 50 * time.Millisecond
-	// unreadyRetryAfter is told before settings are known.
-	unreadyRetryAfter = 500 * time.Millisecond
+	// minRetryAfter keeps refused callers from retrying immediately.
+	minRetryAfter = 50 * time.Millisecond
+	// noSettingsRetryAfter is sent to callers until the first settings are in force.
+	noSettingsRetryAfter = 500 * time.Millisecond
 )
 
-// request is one caller's request with all that its decisions need.
+// request is a caller's request with the data on which decisions about it are based.
 type request struct {
-	// id is the caller's.
+	// id is the request ID that the caller sent.
 	id       string
 	snapshot *config.Snapshot
 	route    *slatewindv1.Route
@@ -46,29 +45,29 @@
 	host     string
 	headers  []*slatewindv1.Header
 	body     []byte
-	// digest stands for the request's content.
+	// digest returns the digest of the request's content.
 	digest   func() quarantine.Digest
 	began    time.Time
 	deadline time.Time
-	// clock counts the time too in which the VM was suspended, suspended is how long it had been
-	// when the request came.
+	// clock includes the time during which the VM was suspended; suspended is the total of that
+	// time when the request arrived.
 	clock     timer.Clock
 	suspended time.Duration
-	// left is closed when the caller leaves or has its answer.
-	left <-chan struct{}
-	// call is set where the request is a call of one that a server already runs.
+	// callerDone is closed when the caller disconnects or has received its response.
+	callerDone <-chan struct{}
+	// call is set if the request is a nested call of a request that a server is running.
 	call *slatewind.NestedCall
-	// workspace is that of the caller, or of the request for which the call is made; nil where
-	// there is none.
+	// workspace is the caller's workspace, or for a nested call that of the request that makes it;
+	// nil if there is none.
 	workspace *slatewindv1.Workspace
-	// announced says that a reservation was made for the request.
+	// announced reports whether a reservation was made for the request.
 	announced atomic.Bool
 }
 
-// abandoned reports whether the caller has left.
-func (rq *request) abandoned() bool {
+// callerGone reports whether the caller has disconnected.
+func (rq *request) callerGone() bool {
 	select {
-	case <-rq.left:
+	case <-rq.callerDone:
 		return true
 	default:
 		return false
@@ -79,10 +78,10 @@
 
 func (rq *request) repeatable() bool { return rq.kind() == slatewind.KindRepeatable }
 
-// rank returns the request's place in the order of the queue for slots; lower goes first.
+// rank returns the priority of the request in the queues for slots; the lowest rank goes first.
 func (rq *request) rank() uint32 { return rq.snapshot.Rank(rq.workspace, rq.route) }
 
-// attempts returns to how many servers the request may be sent.
+// attempts returns the maximum number of servers that may receive the request.
 func (rq *request) attempts() int {
 	if n := int(rq.route.GetAttempts()); n > 0 {
 		return n
@@ -90,12 +89,12 @@
 	return defaultAttempts
 }
 
-// objective returns the time within which the answer has its full worth.
+// objective returns the route's latency objective, within which a response has its full value.
 func (rq *request) objective() time.Duration {
 	if objective := rq.route.GetObjective().AsDuration(); objective > 0 {
 		return objective
 	}
-	return rq.deadline.Sub(rq.began) / objectivePart
+	return rq.deadline.Sub(rq.began) / defaultObjectiveDivisor
 }
 
 // ServeHTTP implements http.Handler for callers.
@@ -106,7 +105,7 @@
 	if o.stop.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
-	call := o.callOf(r)
+	call := o.nestedCall(r)
 	if call != nil {
 		o.callsInFlight.Add(1)
 		defer o.callsInFlight.Add(-1)
@@ -117,32 +116,32 @@
 		o.reject(w, r, err)
 		return
 	}
-	final := o.handle(r.Context(), rq)
-	endCall(call, final.served())
-	o.meter.Request(rq.route.GetName(), final.outcome, time.Since(rq.began))
-	o.answer(w, rq, final)
+	res := o.handle(r.Context(), rq)
+	endCall(call, res.served())
+	o.meter.Request(rq.route.GetName(), res.outcome, time.Since(rq.began))
+	o.answer(w, rq, res)
 }
 
-// callOf returns the call that a request is, or nil.
-func (o *Outbound) callOf(r *http.Request) *slatewind.NestedCall {
-	if call, ok := o.calls.NestedCall(r.Header.Get(o.dialect.RequestID)); ok {
+// nestedCall returns the nested call if r is one, or nil.
+func (o *Outbound) nestedCall(r *http.Request) *slatewind.NestedCall {
+	if call, ok := o.calls.NestedCall(r.Header.Get(o.headerNames.RequestID)); ok {
 		return &call
 	}
 	return nil
 }
 
-// endCall notes the end of a call, which may be nil. It comes before the answer: what the server
-// does with that is its own doing.
+// endCall records the end of a call; call may be nil. It is called before the response is written:
+// what the server does after that is no longer part of the call.
 func endCall(call *slatewind.NestedCall, served bool) {
 	if call != nil {
 		call.End(served)
 	}
 }
 
-// handle decides about a request until its final answer.
-func (o *Outbound) handle(ctx context.Context, rq *request) final {
-	f := final{outcome: slatewind.OutcomeNotRun, reason: stops}
-	// Its body may have taken long to come.
+// handle processes a request and returns its result.
+func (o *Outbound) handle(ctx context.Context, rq *request) requestResult {
+	f := requestResult{outcome: slatewind.OutcomeNotRun, reason: reasonStopping}
+	// The time is taken again since reading the body may have taken long.
 	switch now := time.Now(); {
 	case !o.admit(now, rq):
 	case o.quarantined(now, rq):
@@ -150,15 +149,15 @@
 	default:
 		f = o.dispatch(ctx, rq)
 	}
-	o.comeBack(time.Now(), &f)
+	o.setRetryAfter(time.Now(), &f)
 	return f
 }
 
-// newRequest reads and checks a caller's request.
+// newRequest reads and validates a caller's request.
 func (o *Outbound) newRequest(now time.Time, call *slatewind.NestedCall, w http.ResponseWriter, r *http.Request) (*request, error) {
 	snapshot := o.store.Current()
 	if snapshot == nil {
-		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "no settings are in force yet", retryAfter: unreadyRetryAfter}
+		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "no settings are in force yet", retryAfter: noSettingsRetryAfter}
 	}
 	route := snapshot.Routes.Find(HostOf(r.Host), r.Method, r.URL.Path)
 	if route == nil {
@@ -175,14 +174,14 @@
 		}
 	}
 	rq := &request{
-		id:       r.Header.Get(o.dialect.RequestID),
+		id:       r.Header.Get(o.headerNames.RequestID),
 		snapshot: snapshot,
 		route:    route,
 		method:   r.Method,
 		target:   r.RequestURI,
 		host:     r.Host,
 		began:    now,
-		deadline: now.Add(o.timeFor(r, route)),
+		deadline: now.Add(o.timeout(r, route)),
 
 		clock:     o.clock,
 		suspended: o.clock.Suspended(),
@@ -201,18 +200,18 @@
 	return rq, nil
 }
 
-// identify returns the workspace that sends a request. A call has no key: it is made for the
-// request that the server runs, and belongs to its workspace.
+// identify returns the workspace that sends a request. A nested call without a key belongs to the
+// workspace of the request that makes it.
 func (o *Outbound) identify(snapshot *config.Snapshot, route *slatewindv1.Route, call *slatewind.NestedCall, r *http.Request) (*slatewindv1.Workspace, error) {
-	keys := r.Header.Values(o.dialect.Key)
+	keys := r.Header.Values(o.headerNames.Key)
 	if call != nil && len(keys) == 0 {
 		return snapshot.Workspaces.Named(call.Workspace), nil
 	}
 	return snapshot.Workspaces.Identify(keys, route.GetPublic())
 }
 
-// admitWorkspace refuses a request that is beyond its workspace's limit, before anything else is
-// spent on it.
+// admitWorkspace rejects a request that exceeds its workspace's rate limit, before any other
+// resources are spent on it.
 func (o *Outbound) admitWorkspace(ctx context.Context, snapshot *config.Snapshot, w *slatewindv1.Workspace) error {
 	verdict := o.limiter.Admit(ctx, snapshot.LimitOf(w))
 	admission := AdmissionAllowed
@@ -231,22 +230,22 @@
 	return &rejection{status: status, reason: reason, retryAfter: verdict.RetryAfter, evidence: verdict.Evidence}
 }
 
-// headers returns the fields that go to the server: the caller's, but for its key and for what
-// the fleet itself says of the request.
+// headers returns the header fields that are sent to the server: the caller's, without its key and
+// without the fields that the fleet sets itself.
 func (o *Outbound) headers(r *http.Request, sender *slatewindv1.Workspace) []*slatewindv1.Header {
-	headers := link.ForwardedHeaders(r.Header, o.dialect.CallerService, o.dialect.Deadline, o.dialect.Key, o.dialect.Workspace)
-	headers = append(headers, &slatewindv1.Header{Name: o.dialect.CallerService, Value: o.self.Service})
+	headers := link.ForwardedHeaders(r.Header, o.headerNames.CallerService, o.headerNames.Deadline, o.headerNames.Key, o.headerNames.Workspace)
+	headers = append(headers, &slatewindv1.Header{Name: o.headerNames.CallerService, Value: o.self.Service})
 	if sender != nil {
-		headers = append(headers, &slatewindv1.Header{Name: o.dialect.Workspace, Value: sender.GetName()})
+		headers = append(headers, &slatewindv1.Header{Name: o.headerNames.Workspace, Value: sender.GetName()})
 	}
 	return headers
 }
 
-// timeFor returns how long a request may take: as long as its caller waits and
-// its route allows.
-func (o *Outbound) timeFor(r *http.Request, route *slatewindv1.Route) time.Duration {
+// timeout returns how long a request may take: the shorter of the caller's deadline and the
+// route's timeout.
+func (o *Outbound) timeout(r *http.Request, route *slatewindv1.Route) time.Duration {
 	allowed := route.GetTimeout().AsDuration()
-	if ms, err := strconv.ParseInt(r.Header.Get(o.dialect.Deadline), 10, 64); err == nil {
+	if ms, err := strconv.ParseInt(r.Header.Get(o.headerNames.Deadline), 10, 64); err == nil {
 		wanted := time.Duration(ms) * time.Millisecond
 		if allowed <= 0 || wanted < allowed {
 			return wanted
@@ -258,7 +257,7 @@
 	return allowed
 }
 
-// readBody reads the caller's body, within the limits of size and time.
+// readBody reads the caller's body, within the size and time limits.
 func (rq *request) readBody(w http.ResponseWriter, r *http.Request) error {
 	limit := int64(rq.snapshot.Fleet.GetCallerLimits().GetBodyBytes())
 	if limit <= 0 {
@@ -273,19 +272,20 @@
 		return &rejection{status: http.StatusRequestEntityTooLarge, reason: fmt.Sprintf("body is over the limit of %d bytes", limit)}
 	}
 	if err != nil {
-		return &rejection{status: http.StatusBadRequest, reason: "body did not arrive whole: " + err.Error()}
+		return &rejection{status: http.StatusBadRequest, reason: "reading the request body failed: " + err.Error()}
 	}
 	rq.body = body
 	return nil
 }
 
-// remaining returns the time left to a request. Its caller waited also while this VM was suspended.
+// remaining returns the time left until the deadline. Time during which this VM was suspended counts
+// too, since the caller kept waiting.
 func (rq *request) remaining(now time.Time) time.Duration {
 	return rq.deadline.Sub(now) - (rq.clock.Suspended() - rq.suspended)
 }
 
-// context ends with the request's time and a moment for a server's own
-// answer that the time is over.
+// context returns a context that ends answerSlack after the request's deadline, so that a server's
+// own response about an exceeded deadline can still arrive.
 func (rq *request) context(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, rq.deadline.Add(answerSlack))
 }
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -14,42 +14,42 @@
 	"slatewind.example/slatewind/search"
 )
 
-// pending is one reservation without a final reply.
-type pending struct {
+// pendingReservation is a reservation without a final reply.
+type pendingReservation struct {
 	question *search.Question
 	cancel   context.CancelFunc
 }
 
 // server returns the server at which the reservation is made.
-func (a *pending) server() choice.Candidate { return a.question.Server }
+func (p *pendingReservation) server() choice.Candidate { return p.question.Server }
 
-// event is a reply to a reservation, or the error that ended it.
+// event is a reply to a reservation, or the error that ended the reservation.
 type event struct {
-	of    *pending
-	use   link.Use
-	reply *slatewindv1.UseReply
-	err   error
+	reservation *pendingReservation
+	use         link.Use
+	reply       *slatewindv1.UseReply
+	err         error
 }
 
-// ask makes a reservation at the next server, if there is one.
-func (l *look) ask() {
+// reserveNext makes a reservation at the next server, if there is one.
+func (s *slotSearch) reserveNext() {
 	now := time.Now()
-	question, left := l.search.Next(now, func(server choice.Candidate) bool { return l.rq.shard.passedOver(now, l.rq, l.aim, server.ID()) })
+	question, left := s.search.Next(now, func(server choice.Candidate) bool { return s.rq.shard.excluded(now, s.rq, s.opts, server.ID()) })
 	if !left {
 		return
 	}
-	to := l.aim
-	to.ask = question.Ask
-	ctx, cancel := context.WithCancel(l.ctx)
-	a := &pending{question: question, cancel: cancel}
-	l.open[a] = true
-	l.rq.shard.update(func(c *choice.Service) { c.Reserved(now, a.server().ID()) })
-	go l.o.reserve(ctx, l.rq.reservation(to, l.until), a, l.events)
-}
-
-// reserve makes one reservation and passes its replies on up to the final one.
-func (o *Outbound) reserve(ctx context.Context, reservation *slatewindv1.Reservation, a *pending, events chan<- event) {
-	use, err := o.links.Open(ctx, *a.server().ServerEntry)
+	opts := s.opts
+	opts.ask = question.Ask
+	ctx, cancel := context.WithCancel(s.ctx)
+	p := &pendingReservation{question: question, cancel: cancel}
+	s.open[p] = true
+	s.rq.shard.update(func(c *choice.Service) { c.Reserved(now, p.server().ID()) })
+	go s.o.reserve(ctx, s.rq.reservation(opts, s.until), p, s.events)
+}
+
+// reserve makes one reservation and sends its replies to events, up to and including the final one.
+func (o *Outbound) reserve(ctx context.Context, reservation *slatewindv1.Reservation, p *pendingReservation, events chan<- event) {
+	use, err := o.links.Open(ctx, *p.server().ServerEntry)
 	if err == nil {
 		err = use.Send(&slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Reservation{Reservation: reservation}})
 	}
@@ -59,9 +59,9 @@
 			reply, err = use.Recv()
 		}
 		select {
-		case events <- event{of: a, use: use, reply: reply, err: err}:
+		case events <- event{reservation: p, use: use, reply: reply, err: err}:
 		case <-ctx.Done():
-			// The look is over. A slot that was granted is given back with the stream.
+			// The search has ended. Closing the stream releases a slot that was granted.
 			return
 		}
 		if err != nil || reply.GetQueued() == nil {
@@ -70,64 +70,64 @@
 	}
 }
 
-// tenths is the unit in which suspicion travels.
-const tenths = 10
+// tenthsPerUnit converts suspicion, which is transmitted in tenths.
+const tenthsPerUnit = 10
 
-// bearsAll is the suspicion that a message names where any is borne.
-const bearsAll = 1000
+// maxBearable is the suspicion that is transmitted if any suspicion is acceptable.
+const maxBearable = 1000
 
-// reservation is the message that asks for a slot at a server.
-func (rq *request) reservation(to aim, until time.Time) *slatewindv1.Reservation {
+// reservation returns the message that requests a slot at a server.
+func (rq *request) reservation(opts attemptOptions, until time.Time) *slatewindv1.Reservation {
 	now := time.Now()
 	return &slatewindv1.Reservation{
 		Service: rq.service, Route: rq.route.GetName(), Workspace: rq.workspace.GetName(), Repeatable: rq.repeatable(), Rank: rq.rank(),
 		RemainingMs: uint32(max(rq.remaining(now), 0).Milliseconds()), PatienceMs: uint32(max(until.Sub(now), 0).Milliseconds()),
-		Careful: to.ask.Careful, Scarce: to.ask.Scarce, LastResort: to.ask.LastResort, BearableTenths: uint32(min(to.ask.Bears, bearsAll) * tenths),
-		Begun: rq.call != nil, Extra: to.extra, Repeat: rq.call != nil && rq.call.Repeat,
+		Careful: opts.ask.Careful, Scarce: opts.ask.Scarce, LastResort: opts.ask.LastResort, BearableTenths: uint32(min(opts.ask.Bears, maxBearable) * tenthsPerUnit),
+		Begun: rq.call != nil, Extra: opts.extra, Repeat: rq.call != nil && rq.call.Repeat,
 		ExpectedMs: uint32(rq.expected().Milliseconds()), First: !rq.announced.Swap(true),
 	}
 }
 
-// expectedFactor is how much longer than the mean of all servers one may take on
-// average: their speeds differ, and a new one is slow.
+// expectedFactor is the multiple of the mean time over all servers that the mean of a single
+// server may reach: servers differ in speed, and a newly started one is slow.
 const expectedFactor = 1.5
 
-// expected returns how long a server may be expected to work on the request: by what
-// other servers took, or as long as its objective where none has answered yet.
+// expected returns how long a server may be expected to work on the request, based on the times of
+// earlier requests of the route; it is the objective if there are none yet.
 func (rq *request) expected() time.Duration {
-	if mean := rq.shard.meanOf(rq.route.GetName()); mean > 0 {
+	if mean := rq.shard.meanTime(rq.route.GetName()); mean > 0 {
 		return time.Duration(expectedFactor * float64(mean))
 	}
 	return rq.objective()
 }
 
-// end closes a reservation that brought no slot.
-func (l *look) end(a *pending) {
-	delete(l.open, a)
-	a.cancel()
-	l.rq.shard.update(func(c *choice.Service) { c.Ended(a.server().ID()) })
+// end closes a reservation that did not result in a slot.
+func (s *slotSearch) end(p *pendingReservation) {
+	delete(s.open, p)
+	p.cancel()
+	s.rq.shard.update(func(c *choice.Service) { c.Ended(p.server().ID()) })
 }
 
-// heard notes what the process beside a server told of it.
-func (l *look) heard(server string, told choice.Told) {
-	l.rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), server, told) })
+// recordState records the state that the process beside a server reported.
+func (s *slotSearch) recordState(server string, state choice.Told) {
+	s.rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), server, state) })
 }
 
-// percent is the unit in which shares travel.
+// percent converts shares, which are transmitted in percent.
 const percent = 100.0
 
-// toldOf translates the state that a reply carries.
-func toldOf(state *slatewindv1.SlotState) choice.Told {
+// stateOf converts the server state in a reply.
+func stateOf(state *slatewindv1.SlotState) choice.Told {
 	return choice.Told{
 		Load: float64(state.GetInUse() + state.GetQueued()), Slots: float64(state.GetSlots()),
-		Sick: healthWord(state) != string(slatewind.ServerHealthy), Leaving: state.GetLeaving(),
+		Sick: healthOf(state) != string(slatewind.ServerHealthy), Leaving: state.GetLeaving(),
 		SuccessShare: 1 - float64(state.GetFailurePercent())/percent, ShedShare: float64(state.GetShedPercent()) / percent,
-		Suspicion: float64(state.GetSuspicionTenths()) / tenths,
+		Suspicion: float64(state.GetSuspicionTenths()) / tenthsPerUnit,
 	}
 }
 
-// reasonOf says why a reservation was refused, in words for operators.
-func reasonOf(refusal *slatewindv1.Refusal) string {
+// refusalReason returns the reason for a refused reservation, worded for operators.
+func refusalReason(refusal *slatewindv1.Refusal) string {
 	state := refusal.GetState()
 	reason := refusal.GetReason()
 	switch inbound.Cause(refusal.GetCause()) {
@@ -135,111 +135,111 @@
 		reason = fmt.Sprintf("no slot in time, %d of %d in use, %d wait", state.GetInUse(), state.GetSlots(), state.GetQueued())
 	case inbound.CauseSick:
 		reason = fmt.Sprintf("the server is %s, %d%% of the newest requests failed, suspicion %.1f",
-			healthWord(state), state.GetFailurePercent(), float64(state.GetSuspicionTenths())/tenths)
+			healthOf(state), state.GetFailurePercent(), float64(state.GetSuspicionTenths())/tenthsPerUnit)
 	case inbound.CauseBudget:
 		reason = "the bound on extra attempts is reached"
 	}
 	return fmt.Sprintf("%s: %s", refusal.GetCause(), reason)
 }
 
-// healthWord is a state's word for the server's health; an empty one says healthy.
-func healthWord(state *slatewindv1.SlotState) string {
+// healthOf returns the server's health in a state; the empty value stands for healthy.
+func healthOf(state *slatewindv1.SlotState) string {
 	if state.GetHealth() == "" {
 		return string(slatewind.ServerHealthy)
 	}
 	return state.GetHealth()
 }
 
-// toldByRefusal adds to the state what the refusal's cause says.
-func toldByRefusal(refusal *slatewindv1.Refusal) choice.Told {
-	told := toldOf(refusal.GetState())
+// refusalStateOf converts the server state in a refusal and adds what follows from its cause.
+func refusalStateOf(refusal *slatewindv1.Refusal) choice.Told {
+	state := stateOf(refusal.GetState())
 	switch inbound.Cause(refusal.GetCause()) {
 	case inbound.CauseFull:
-		told.Full = true
-		told.SlotIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
+		state.Full = true
+		state.SlotIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
 	case inbound.CauseStopping:
-		told.Stopping = true
-		told.BackIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
+		state.Stopping = true
+		state.BackIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
 	case inbound.CauseSick:
-		told.TrialIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
+		state.TrialIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
 	case inbound.CauseBudget:
-		told.Spent = true
+		state.Spent = true
 	}
-	return told
+	return state
 }
 
-// Told takes what other processes reported of servers.
+// Told records the server states that other processes reported.
 func (o *Outbound) Told(now time.Time, reports []*slatewindv1.ServerReport) {
 	for _, r := range reports {
 		o.mu.RLock()
-		home, known := o.servers[r.GetServer()]
+		server, known := o.servers[r.GetServer()]
 		o.mu.RUnlock()
 		if !known {
 			continue
 		}
-		told := toldOf(r.GetState())
-		told.TrialIn = time.Duration(r.GetTrialInMs()) * time.Millisecond
-		told.TrialDue = told.Sick && told.TrialIn == 0
+		state := stateOf(r.GetState())
+		state.TrialIn = time.Duration(r.GetTrialInMs()) * time.Millisecond
+		state.TrialDue = state.Sick && state.TrialIn == 0
 		id := slatewind.ServerID(r.GetServer(), r.GetStartUnixMillis())
-		o.shard(home.service).update(func(c *choice.Service) { c.Reported(now.Add(-report.Age(r)), id, told) })
+		o.shard(server.service).update(func(c *choice.Service) { c.Reported(now.Add(-report.Age(r)), id, state) })
 	}
 }
 
-// unreached ends a reservation that failed on its way.
-func (l *look) unreached(e event) {
-	l.end(e.of)
-	name, id := e.of.server().Name, e.of.server().ID()
-	l.last, l.lastServer = fmt.Sprintf("the process beside %s cannot be reached: %v", name, e.err), name
-	l.rq.shard.update(func(c *choice.Service) { c.Silent(time.Now(), id) })
-	l.askIf(l.search.Ended())
+// handleUnreachable ends a reservation that failed with an error.
+func (s *slotSearch) handleUnreachable(e event) {
+	s.end(e.reservation)
+	name, id := e.reservation.server().Name, e.reservation.server().ID()
+	s.lastReason, s.lastServer = fmt.Sprintf("the process beside %s cannot be reached: %v", name, e.err), name
+	s.rq.shard.update(func(c *choice.Service) { c.Silent(time.Now(), id) })
+	s.reserveNextIf(s.search.Ended())
 }
 
-// left ends a reservation that was granted after its server began to leave.
-func (l *look) left(e event) {
-	l.decline(e, inbound.CauseLeaving, "the server began to leave while the request waited for its slot")
+// declineLeaving ends a reservation that was granted after its server started leaving.
+func (s *slotSearch) declineLeaving(e event) {
+	s.decline(e, inbound.CauseLeaving, "the server began to leave while the request waited for its slot")
 }
 
-// endsBefore ends a reservation that was granted by a process which ends before this one.
-func (l *look) endsBefore(e event) {
-	told := toldOf(e.reply.GetGranted())
-	told.Stopping, told.BackIn = true, time.Duration(e.reply.GetGranted().GetLastsMs())*time.Millisecond
-	l.heard(e.of.server().ID(), told)
-	l.decline(e, inbound.CauseStopping, "the process beside the server ends before this one")
+// declineStopping ends a reservation that was granted by a process that will exit before this one.
+func (s *slotSearch) declineStopping(e event) {
+	state := stateOf(e.reply.GetGranted())
+	state.Stopping, state.BackIn = true, time.Duration(e.reply.GetGranted().GetLastsMs())*time.Millisecond
+	s.recordState(e.reservation.server().ID(), state)
+	s.decline(e, inbound.CauseStopping, "the process beside the server ends before this one")
 }
 
-// decline ends a reservation that was granted and is not used, as if it had been refused.
-func (l *look) decline(e event, cause inbound.Cause, why string) {
-	l.end(e.of)
-	l.refusals[cause]++
-	l.last, l.lastServer = fmt.Sprintf("%s: %s", cause, why), e.of.server().Name
-	l.askIf(l.search.Ended())
+// decline ends a granted reservation without using it, and counts it as refused.
+func (s *slotSearch) decline(e event, cause inbound.Cause, why string) {
+	s.end(e.reservation)
+	s.refusals[cause]++
+	s.lastReason, s.lastServer = fmt.Sprintf("%s: %s", cause, why), e.reservation.server().Name
+	s.reserveNextIf(s.search.Ended())
 }
 
-// leastTrialIn is how long it is at least until a server that refused a request as sick
-// gets its next trial: it may be that one runs.
-const leastTrialIn = 100 * time.Millisecond
+// minTrialIn is the minimum time until the next trial of a server that refused a request as
+// unhealthy: a trial may be in progress.
+const minTrialIn = 100 * time.Millisecond
 
-// refused ends a reservation that the process beside the server refused.
-func (l *look) refused(e event) {
-	l.end(e.of)
+// handleRefusal ends a reservation that the process beside the server refused.
+func (s *slotSearch) handleRefusal(e event) {
+	s.end(e.reservation)
 	refusal := e.reply.GetRefusal()
 	cause := inbound.Cause(refusal.GetCause())
-	name, id := e.of.server().Name, e.of.server().ID()
-	l.refusals[cause]++
-	l.last, l.lastServer = reasonOf(refusal), name
+	name, id := e.reservation.server().Name, e.reservation.server().ID()
+	s.refusals[cause]++
+	s.lastReason, s.lastServer = refusalReason(refusal), name
 	after := time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
-	if after > 0 && (l.retryAfter == 0 || after < l.retryAfter) {
-		l.retryAfter = after
+	if after > 0 && (s.retryAfter == 0 || after < s.retryAfter) {
+		s.retryAfter = after
 	}
-	l.heard(id, toldByRefusal(refusal))
+	s.recordState(id, refusalStateOf(refusal))
 	switch cause {
 	case inbound.CauseSick:
-		l.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.of.server().Start}, refusal.GetState(), max(after, leastTrialIn))
+		s.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.reservation.server().Start}, refusal.GetState(), max(after, minTrialIn))
 	case inbound.CauseBudget:
-		l.rq.shard.deny(time.Now())
-		l.o.meter.Denied(l.rq.service, deniedBound)
+		s.rq.shard.recordDenial(time.Now())
+		s.o.meter.Denied(s.rq.service, deniedBound)
 	case inbound.CauseMoved:
-		l.rq.shard.update(func(c *choice.Service) { c.Moved(time.Now(), id) })
+		s.rq.shard.update(func(c *choice.Service) { c.Moved(time.Now(), id) })
 	}
-	l.askIf(l.search.Refused(e.of.question, search.Refusal{Sick: cause == inbound.CauseSick, Denied: cause == inbound.CauseBudget}))
+	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Sick: cause == inbound.CauseSick, Denied: cause == inbound.CauseBudget}))
 }
--- a/outbound/run.go
+++ b/outbound/run.go
@@ -14,52 +14,50 @@
 	"slatewind.example/slatewind/link"
 )
 
-// answer is a server's answer.
+// answer is a server's response.
 type answer struct {
 	head *slatewindv1.AnswerHead
 	body []byte
-	// rest reads what follows body where the answer was too long to hold. It
-	// returns io.EOF only after a whole answer.
-	rest func() ([]byte, error)
-	// close ends the reservation and frees what belongs to the request.
+	// readRest reads the chunks after body if the response is too long to hold in memory; nil
+	// otherwise. It returns io.EOF only if the response was complete.
+	readRest func() ([]byte, error)
+	// close ends the reservation and releases the resources of the request.
 	close func()
 }
 
-// attempt looks for a slot and runs the request in it.
-func (o *Outbound) attempt(ctx context.Context, rq *request, to aim) result {
-	slot, refused := o.acquire(ctx, rq, to, o.lastStart(rq, rq.patience(time.Now(), to.again)))
+// attempt searches for a slot and runs the request in it.
+func (o *Outbound) attempt(ctx context.Context, rq *request, opts attemptOptions) attemptResult {
+	slot, refused := o.acquire(ctx, rq, opts, o.lastStart(rq, rq.slotDeadline(time.Now(), opts.retry)))
 	if slot == nil {
-		return result{final: *refused}
+		return attemptResult{requestResult: *refused}
 	}
-	to.sent(slot.server.Name)
+	opts.onSent(slot.server.Name)
 	began := time.Now()
 	r := o.run(rq, slot)
-	if r.answer != nil && r.answer.rest == nil {
+	if r.answer != nil && r.answer.readRest == nil {
 		o.suspects.Answered(time.Now(), rq.digest())
 	}
 	rq.shard.update(func(c *choice.Service) {
 		c.Ended(slot.server.ID())
 		if r.served() {
 			c.Succeeded(time.Now(), slot.server.ID())
-			rq.shard.learn(rq.route.GetName(), len(rq.body)+len(r.answer.body), time.Since(began))
+			rq.shard.recordServed(rq.route.GetName(), len(rq.body)+len(r.answer.body), time.Since(began))
 		}
 	})
 	return r
 }
 
-// unknownAt is the result of a request that was sent into a slot, as long as
-// nothing more is known of it.
-func unknownAt(slot *held) result {
-	return result{final: final{outcome: slatewind.OutcomeUnknown, server: slot.server.Name}, arrived: true}
+// unknownResult returns the result of a request that was sent into a slot, until more is known.
+func unknownResult(slot *grantedSlot) attemptResult {
+	return attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeUnknown, server: slot.server.Name}, arrived: true}
 }
 
-// run sends the request to the process that holds a slot for it and reads the
-// reply.
-func (o *Outbound) run(rq *request, slot *held) result {
-	r := unknownAt(slot)
+// run sends the request to the process that granted the slot and reads the reply.
+func (o *Outbound) run(rq *request, slot *grantedSlot) attemptResult {
+	r := unknownResult(slot)
 	if err := rq.send(slot); err != nil {
 		slot.cancel()
-		r.reason = "the request could not be sent whole: " + err.Error()
+		r.reason = "sending the request to the process beside the server failed: " + err.Error()
 		return r
 	}
 	reply, err := slot.use.Recv()
@@ -74,22 +72,22 @@
 	case reply.GetFailure() != nil:
 		failure := reply.GetFailure()
 		r.outcome, r.reason = slatewind.Outcome(failure.GetOutcome()), failure.GetReason()
-		o.hearSuspect(failure.GetSuspect())
+		o.recordSuspect(failure.GetSuspect())
 		r.timedOut = time.Now().After(rq.deadline)
-		o.hear(rq, slot, failure.GetState())
+		o.recordState(rq, slot, failure.GetState())
 	case reply.GetRefusal() != nil:
-		r.outcome, r.reason = slatewind.OutcomeNotRun, reasonOf(reply.GetRefusal())
+		r.outcome, r.reason = slatewind.OutcomeNotRun, refusalReason(reply.GetRefusal())
 		r.retryAfter = time.Duration(reply.GetRefusal().GetRetryAfterMs()) * time.Millisecond
-		o.hearSuspect(reply.GetRefusal().GetSuspect())
-		o.hear(rq, slot, reply.GetRefusal().GetState())
+		o.recordSuspect(reply.GetRefusal().GetSuspect())
+		o.recordState(rq, slot, reply.GetRefusal().GetState())
 	default:
-		r.reason = "a reply that is none"
+		r.reason = "unexpected reply from the process beside the server"
 	}
 	return r
 }
 
-// send sends the request and its body.
-func (rq *request) send(slot *held) error {
+// send sends the request and its body, in chunks of at most link.ChunkBytes.
+func (rq *request) send(slot *grantedSlot) error {
 	first := rq.body[:min(len(rq.body), link.ChunkBytes)]
 	err := slot.use.Send(&slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Request{Request: &slatewindv1.SlotRequest{
 		RemainingNanos: int64(rq.remaining(time.Now())), Server: slot.server.Name, Method: rq.method, Target: rq.target, Host: rq.host,
@@ -103,32 +101,34 @@
 	return err
 }
 
-// hear takes a server's state that came with a reply, if any did.
-func (o *Outbound) hear(rq *request, slot *held, state *slatewindv1.SlotState) {
+// recordState records the server state that came with a reply; state may be nil.
+func (o *Outbound) recordState(rq *request, slot *grantedSlot, state *slatewindv1.SlotState) {
 	if state == nil {
 		return
 	}
-	rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), slot.server.ID(), toldOf(state)) })
+	rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), slot.server.ID(), stateOf(state)) })
 }
 
-// errBroken: an answer ended early, or its length or checksum is wrong.
-var errBroken = Error.New("the answer is not whole")
+// errIncompleteAnswer means that a response ended early, or that its length or checksum does not
+// match.
+var errIncompleteAnswer = Error.New("the answer is truncated or corrupt")
 
-// read reads the answer that follows a head.
-func (o *Outbound) read(rq *request, slot *held, head *slatewindv1.AnswerHead) result {
-	r := unknownAt(slot)
+// read reads the response that follows a head. At most link.MaxHeld bytes and one chunk are held in
+// memory; the rest of a longer response is read as it is forwarded.
+func (o *Outbound) read(rq *request, slot *grantedSlot, head *slatewindv1.AnswerHead) attemptResult {
+	r := unknownResult(slot)
 	sum := xxhash.New()
 	length := int64(0)
 	next := func() ([]byte, error) {
 		reply, err := slot.use.Recv()
 		if err != nil {
-			return nil, errors.Join(errBroken, err)
+			return nil, errors.Join(errIncompleteAnswer, err)
 		}
 		if end := reply.GetEnd(); end != nil {
 			if end.GetLength() != length || end.GetChecksum() != sum.Sum64() {
-				return nil, errBroken
+				return nil, errIncompleteAnswer
 			}
-			o.hear(rq, slot, end.GetState())
+			o.recordState(rq, slot, end.GetState())
 			return nil, io.EOF
 		}
 		chunk := reply.GetChunk()
@@ -139,7 +139,7 @@
 	a := &answer{head: head, close: slot.cancel}
 	for len(a.body) <= link.MaxHeld {
 		chunk, err := next()
-		if errors.Is(err, io.EOF) && !errors.Is(err, errBroken) {
+		if errors.Is(err, io.EOF) && !errors.Is(err, errIncompleteAnswer) {
 			r.outcome, r.answer = slatewind.OutcomeAnswer, a
 			return r
 		}
@@ -150,7 +150,7 @@
 		}
 		a.body = append(a.body, chunk...)
 	}
-	a.rest = next
+	a.readRest = next
 	r.outcome, r.answer = slatewind.OutcomeAnswer, a
 	return r
 }
--- a/outbound/servers.go
+++ b/outbound/servers.go
@@ -11,92 +11,93 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// shard is the state of one service, under its own lock.
+// shard is the state of one service. mu guards all fields.
 type shard struct {
 	mu     sync.Mutex
 	choice *choice.Service
-	// denied is when an extra attempt was last denied.
-	denied time.Time
-	// detailed is when a survey last said what is believed of each server.
-	detailed time.Time
-	// samples holds the means of each route.
-	samples map[string]sample
+	// lastDenied is the time at which an extra attempt was last denied.
+	lastDenied time.Time
+	// lastDetailed is the time of the last survey that listed the assumed state of each server.
+	lastDetailed time.Time
+	// means holds the averages by route.
+	means map[string]routeMeans
 }
 
-// update gives the choice among the service's servers to f under its lock.
+// update calls f with the service's server selection, with the lock held.
 func (sh *shard) update(f func(c *choice.Service)) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	f(sh.choice)
 }
 
-// takes reports whether a server takes new work, as far as is known here.
-func (sh *shard) takes(server string) bool {
+// acceptsWork reports whether a server accepts new requests, as far as this process knows.
+func (sh *shard) acceptsWork(server string) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	return sh.choice.Takes(server)
 }
 
 const (
-	// denyMemory is how long after a denied extra attempt a first attempt is made a trial
-	// of a sick server only where one is overdue, since it may not be repeated.
-	denyMemory = 500 * time.Millisecond
-	// scarceMemory is how long after it extra attempts are taken to be scarce.
-	scarceMemory = 2 * time.Second
+	// trialPauseAfterDenial is how long after a denied extra attempt a first attempt is used as a
+	// trial of an unhealthy server only if that trial is overdue: if the trial fails, the request
+	// might not be allowed another attempt.
+	trialPauseAfterDenial = 500 * time.Millisecond
+	// scarceAfterDenial is how long after a denied extra attempt such attempts count as scarce.
+	scarceAfterDenial = 2 * time.Second
 )
 
-// deny notes that an extra attempt was denied.
-func (sh *shard) deny(now time.Time) {
+// recordDenial records that an extra attempt was denied.
+func (sh *shard) recordDenial(now time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.denied = now
+	sh.lastDenied = now
 }
 
-// deniedWithin reports whether an extra attempt was denied so lately that others are
-// likely to be.
-func (sh *shard) deniedWithin(now time.Time, memory time.Duration) bool {
+// deniedWithin reports whether an extra attempt was denied within the last window, so that another
+// one is likely to be denied too.
+func (sh *shard) deniedWithin(now time.Time, window time.Duration) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return now.Sub(sh.denied) < memory
+	return now.Sub(sh.lastDenied) < window
 }
 
-// order returns the servers that may get a request, cheapest first.
-func (sh *shard) order(now time.Time, rq *request, to aim) []choice.Candidate {
+// order returns the servers that may receive a request, in ascending order of cost.
+func (sh *shard) order(now time.Time, rq *request, opts attemptOptions) []choice.Candidate {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.choice.Order(now, sh.want(rq, to))
+	return sh.choice.Order(now, sh.want(rq, opts))
 }
 
-// passedOver reports whether a server is not to be asked any more.
-func (sh *shard) passedOver(now time.Time, rq *request, to aim, server string) bool {
+// excluded reports whether a server must no longer be asked.
+func (sh *shard) excluded(now time.Time, rq *request, opts attemptOptions, server string) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.choice.PassedOver(now, server, sh.want(rq, to))
+	return sh.choice.PassedOver(now, server, sh.want(rq, opts))
 }
 
-// detailPause is the least time between two surveys of a service that say what is believed
-// of each server: they are long.
-const detailPause = time.Second
+// detailInterval is the minimum time between two surveys of a service that list the assumed state of
+// each server, since these are long.
+const detailInterval = time.Second
 
-// survey counts the servers that a search asked and those that it did not.
-func (sh *shard) survey(now time.Time, rq *request, to aim, asked map[string]bool) choice.Survey {
+// survey counts the servers that a search asked and those that it did not ask, by reason.
+func (sh *shard) survey(now time.Time, rq *request, opts attemptOptions, asked map[string]bool) choice.Survey {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	detail := now.Sub(sh.detailed) >= detailPause
+	detail := now.Sub(sh.lastDetailed) >= detailInterval
 	if detail {
-		sh.detailed = now
+		sh.lastDetailed = now
 	}
-	return sh.choice.Survey(now, sh.want(rq, to), asked, to.tried, detail)
+	return sh.choice.Survey(now, sh.want(rq, opts), asked, opts.tried, detail)
 }
 
-// want says what the request is like. The lock is held.
-func (sh *shard) want(rq *request, to aim) choice.Want {
-	// Before the first answer only the request's own size is known.
-	bytes := max(sh.samples[rq.route.GetName()].bytes, float64(len(rq.body)))
-	return choice.Want{Ask: to.ask, Extra: to.extra, Bytes: bytes}
+// want returns the properties of a request that affect the selection. The caller must hold sh.mu.
+func (sh *shard) want(rq *request, opts attemptOptions) choice.Want {
+	// Until the route has averages, only the size of the request itself is known.
+	bytes := max(sh.means[rq.route.GetName()].bytes, float64(len(rq.body)))
+	return choice.Want{Ask: opts.ask, Extra: opts.extra, Bytes: bytes}
 }
 
-// shard returns the state of a service, made where it does not exist yet.
+// shard returns the state of a service, and creates it if it does not exist.
 func (o *Outbound) shard(service string) *shard {
 	o.mu.RLock()
 	sh := o.shards[service]
@@ -109,38 +110,39 @@
 	if sh := o.shards[service]; sh != nil {
 		return sh
 	}
-	sh = &shard{choice: choice.NewService(o.self.DataCentre, rand.Uint64()), samples: map[string]sample{}}
+	sh = &shard{choice: choice.NewService(o.self.DataCentre, rand.Uint64()), means: map[string]routeMeans{}}
 	o.shards[service] = sh
 	return sh
 }
 
-// home is the service of a server, and which start of it is known.
-type home struct {
+// knownServer is the service of a known server and the start that is known (see
+// slatewind.ServerEntry.Start).
+type knownServer struct {
 	service string
 	start   int64
 }
 
-// Put notes a new or changed server.
+// Put adds or updates a server.
 func (o *Outbound) Put(now time.Time, entry slatewind.ServerEntry) {
 	o.mu.Lock()
 	before, known := o.servers[entry.Name]
-	other, taken := o.places[entry.Address]
+	other, taken := o.nameByAddress[entry.Address]
 	taken = taken && other != entry.Name
 	if taken && o.servers[other].start > entry.Start {
 		o.mu.Unlock()
-		// A server that started later runs there. This one counts once that is gone: the
-		// clocks of VMs differ.
+		// A server that started later runs at this address. Since the clocks of VMs differ, this
+		// entry is kept and takes effect if the other one is removed.
 		o.Remove(entry.Name)
 		o.mu.Lock()
-		o.overtaken[entry.Address] = entry
+		o.superseded[entry.Address] = entry
 		o.mu.Unlock()
 		return
 	}
-	o.servers[entry.Name] = home{entry.Service, entry.Start}
-	o.places[entry.Address] = entry.Name
+	o.servers[entry.Name] = knownServer{entry.Service, entry.Start}
+	o.nameByAddress[entry.Address] = entry.Name
 	o.mu.Unlock()
 	if taken && !known {
-		// One server runs at an address: a new one says that the older ended.
+		// Only one server can run at an address: a new one there means that the older has ended.
 		o.Remove(other)
 	}
 	if known && before.service != entry.Service {
@@ -149,52 +151,52 @@
 	o.shard(entry.Service).update(func(c *choice.Service) { c.Put(now, entry) })
 }
 
-// Remove forgets a server whose entry is gone.
+// Remove removes a server whose entry is gone.
 func (o *Outbound) Remove(name string) {
 	o.mu.Lock()
-	home, known := o.servers[name]
+	server, known := o.servers[name]
 	delete(o.servers, name)
-	maps.DeleteFunc(o.overtaken, func(_ string, entry slatewind.ServerEntry) bool { return entry.Name == name })
+	maps.DeleteFunc(o.superseded, func(_ string, entry slatewind.ServerEntry) bool { return entry.Name == name })
 	var next []slatewind.ServerEntry
-	for address, at := range o.places {
+	for address, at := range o.nameByAddress {
 		if at != name {
 			continue
 		}
-		delete(o.places, address)
-		if entry, waits := o.overtaken[address]; waits {
-			delete(o.overtaken, address)
+		delete(o.nameByAddress, address)
+		if entry, waits := o.superseded[address]; waits {
+			delete(o.superseded, address)
 			next = append(next, entry)
 		}
 	}
 	o.mu.Unlock()
 	if known {
-		o.remove(home, name)
+		o.remove(server, name)
 	}
 	for _, entry := range next {
 		o.Put(time.Now(), entry)
 	}
 }
 
-// remove takes a server out of the choice of its service.
-func (o *Outbound) remove(from home, name string) {
+// remove removes a server from the selection of its service.
+func (o *Outbound) remove(from knownServer, name string) {
 	id := slatewind.ServerID(name, from.start)
 	o.shard(from.service).update(func(c *choice.Service) { c.Remove(id) })
 }
 
-// Servers returns how many servers are known.
+// Servers returns the number of known servers.
 func (o *Outbound) Servers() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	return len(o.servers)
 }
 
-// Addresses returns those of the known servers of a service.
+// Addresses returns the addresses of the known servers of a service.
 func (o *Outbound) Addresses(service string) (addresses []string) {
 	o.shard(service).update(func(c *choice.Service) { addresses = c.Addresses() })
 	return addresses
 }
 
-// Sharer returns the place of the server at an address among those that share the bound on
+// Sharer returns the position of the server at an address among the servers that share the limit on
 // extra attempts of a service.
 func (o *Outbound) Sharer(service, address string) (sharer retry.Sharer) {
 	o.shard(service).update(func(c *choice.Service) { sharer = c.Sharer(address) })
--- a/outbound/split.go
+++ b/outbound/split.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// splitter divides the requests of a route among services by their weights:
-// each request goes to the service that is furthest behind its share.
+// splitter distributes the requests of a route over services by weight: each request goes to the
+// service that is furthest behind its share.
 type splitter struct {
 	sent  map[string]float64
 	total float64
@@ -28,7 +28,7 @@
 	defer o.splitMu.Unlock()
 	sp := o.splits[key]
 	if sp == nil {
-		// A route's shares begin anew with each version; old ones go.
+		// The counts start anew with each version of the settings; older ones are dropped.
 		sp = &splitter{sent: map[string]float64{}}
 		for old := range o.splits {
 			if strings.HasPrefix(old, rq.route.GetName()+"@") {
@@ -36,7 +36,8 @@
 			}
 		}
 		o.splits[key] = sp
-		// Ingresses that all began with the same part would overload it.
+		// The first service is random: otherwise all ingresses would start with the same one
+		// and overload it.
 		sp.sent[splits[rand.IntN(len(splits))].GetService()] = rand.Float64()
 	}
 	sp.total++
--- a/outbound/stop.go
+++ b/outbound/stop.go
@@ -8,17 +8,18 @@
 	"slatewind.example/slatewind/drain"
 )
 
-// stops is why a process that is about to end refuses requests.
-const stops = "the process stops"
+// reasonStopping is the reason with which a process that is shutting down refuses requests.
+const reasonStopping = "the process stops"
 
-// Drain begins the end of the process: callers are told to go elsewhere with their next
-// connection, and what cannot be finished in time is refused unsent. A stop that took
-// whatever came on open connections gave up what its servers still worked on at its end.
+// Drain starts the graceful shutdown: connections to callers are closed after their current request,
+// and requests that cannot be finished in time are refused without being sent. Accepting every
+// request on an open connection would cut off those that servers are still working on at the end.
 func (o *Outbound) Drain(course drain.Course) {
 	o.stop.Store(&course)
 }
 
-// admit decides about a request that was read now, whether a stop takes it and for how long.
+// admit reports whether a request that has just been read is accepted, given any shutdown in
+// progress. It may shorten the request's deadline.
 func (o *Outbound) admit(now time.Time, rq *request) (taken bool) {
 	stop := o.stop.Load()
 	if stop == nil {
@@ -28,15 +29,16 @@
 	return taken
 }
 
-// comeBack tells a caller that is refused while the process stops when the next one is
-// likely to be ready: until then it would find nobody here.
-func (o *Outbound) comeBack(now time.Time, f *final) {
+// setRetryAfter tells a caller that is refused during a shutdown when the next process is likely to
+// be ready, since earlier retries would find no process here.
+func (o *Outbound) setRetryAfter(now time.Time, f *requestResult) {
 	if stop := o.stop.Load(); stop != nil && f.outcome == slatewind.OutcomeNotRun {
 		f.retryAfter = max(f.retryAfter, stop.BackIn(now))
 	}
 }
 
-// lastStart bounds until when a request may wait for its slot, so that it can be finished.
+// lastStart limits the time until which a request may wait for a slot, so that it can be finished
+// before the process exits.
 func (o *Outbound) lastStart(rq *request, until time.Time) time.Time {
 	stop := o.stop.Load()
 	if stop == nil {
@@ -48,8 +50,9 @@
 	return until
 }
 
-// outlasts reports whether this process stops and has to wait for an answer longer than the process
-// beside a server does, which stops too. That one would cut at its end what this one waits for.
+// outlasts reports whether both this process and the one beside the server are shutting down, the
+// other exits first, and the request may need longer than that. The other process would then cut
+// off a response for which this one can still wait.
 func (o *Outbound) outlasts(now time.Time, rq *request, state *slatewindv1.SlotState) bool {
 	stop := o.stop.Load()
 	if stop == nil || state.GetLastsMs() == 0 {
@@ -59,7 +62,7 @@
 	return stop.Outlasts(now, lasts) && rq.remaining(now)+answerSlack > lasts
 }
 
-// mayStart reports whether a request may be sent to a server now.
+// mayStart reports whether a request may still be sent to a server.
 func (o *Outbound) mayStart(rq *request) bool {
 	stop := o.stop.Load()
 	return stop == nil || stop.MayStart(time.Now(), rq.expected())
--- a/outbound/view.go
+++ b/outbound/view.go
@@ -6,13 +6,13 @@
 	"slatewind.example/slatewind/choice"
 )
 
-// ServiceView is one service in a state dump.
+// ServiceView is the state of one service in a state dump.
 type ServiceView struct {
 	Name    string        `json:"name"`
 	Servers []choice.View `json:"servers"`
 }
 
-// View is the ingress's part of a state dump.
+// View is the ingress's part of a state dump. Leaving reports that the process is shutting down.
 type View struct {
 	InFlight int           `json:"in_flight"`
 	Leaving  bool          `json:"leaving"`
--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -147,7 +147,7 @@
 	"a claimed name is passed on": {
 		promise: soak.PromiseKey,
 		part:    soak.PartWorkspaces,
-		edits:   []overlay.Edit{{File: "outbound/request.go", From: "o.dialect.Key, o.dialect.Workspace)", To: "o.dialect.Key)"}},
+		edits:   []overlay.Edit{{File: "outbound/request.go", From: "o.headerNames.Key, o.headerNames.Workspace)", To: "o.headerNames.Key)"}},
 	},
 	"requests under which servers ended are sent on": {
 		promise: soak.PromiseQuarantine,
