--- a/outbound/denied_test.go
+++ b/outbound/denied_test.go
@@ -18,18 +18,18 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// TestDeniedSearchIsShort: a request that a server rejected, where no server may get an
-// extra attempt, asks few of them, the fewer the lower its rank, and is refused at once.
+// TestDeniedSearchIsShort checks that the retry of a request that one server rejected, while no
+// server grants an extra attempt, asks only few servers, fewer for lower-priority ranks, and is
+// refused immediately.
 //
-// While the servers of a service rejected half of their requests, 1,439 requests of a
-// day ended so. What settled it: lines such as "budget: the bound on extra attempts is
-// reached (of all refusals: 0 full, 15 sick, 0 leaving, 0 moved, 44 budget)" with
-// "took=937ms known=60 asked=59", 18.5 denials each in the mean.
+// While the servers of a service rejected half of their requests, such searches asked almost every
+// server: 1,439 requests of a day were refused that way, with 18.5 denials each on average, for
+// example after 937 ms with 59 of 60 servers asked, 15 sick and 44 over the limit on extra attempts.
 func TestDeniedSearchIsShort(t *testing.T) {
 	tests := map[string]struct {
 		rank uint32
-		// first and next bound the reservations of a search and of one shortly after it,
-		// that of the first attempt included.
+		// first and next are the numbers of reservations for a request and for one sent shortly
+		// after it, including that of the first attempt.
 		first, next int
 	}{
 		"the highest rank": {0, 25, 7},
@@ -60,27 +60,27 @@
 	}
 }
 
-// TestTrialWhileExtraAttemptsAreDenied: a server that is well again gets work within two seconds,
-// also while another one rejects so much that no extra attempt is left. A server whose breaker
-// is open is tried by requests that may be repeated, and these try none for half a second after
-// an extra attempt was denied: with one denied every so often, none is ever tried.
+// TestTrialWhileExtraAttemptsAreDenied checks that a server that has recovered gets requests within
+// two seconds even while another server rejects so many that no extra attempts are left. A server
+// with an open breaker is tried by repeatable requests, and these make no trials for half a second
+// after an extra attempt was denied: with frequent denials, the server would never be tried.
 func TestTrialWhileExtraAttemptsAreDenied(t *testing.T) {
 	m := newBoundedMesh(t, inbound.Bounds{RetryWindow: time.Minute}, "a", "b", "c")
 	m.servers["a"].SetMode(standin.StampedReset)
-	for i := 0; m.places["a"].View().Breaker == breaker.StateClosed; i++ {
+	for i := 0; m.inbounds["a"].View().Breaker == breaker.StateClosed; i++ {
 		assert.Assert(t, i < 200, "the breaker stays closed")
 		m.send("POST", "/look/1", fmt.Sprint("first-", i), "", 2*time.Second)
 	}
 	m.servers["a"].SetMode(standin.StampedOK)
 	m.servers["b"].SetMode(standin.StampedShed)
 	m.servers["c"].SetDelay(100 * time.Millisecond)
-	well, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	before := m.servers["a"].Arrivals()
 	var callers sync.WaitGroup
 	for i := range 12 {
 		callers.Go(func() {
-			for n := 0; well.Err() == nil && m.servers["a"].Arrivals() == before; n++ {
+			for n := 0; ctx.Err() == nil && m.servers["a"].Arrivals() == before; n++ {
 				m.send("POST", "/look/1", fmt.Sprintf("second-%d-%d", i, n), "", 2*time.Second)
 			}
 		})
--- a/outbound/hang_test.go
+++ b/outbound/hang_test.go
@@ -12,16 +12,15 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestNewServerThatHangs: a server that hangs before it has answered often enough for
-// its own mean times to be known is set aside as soon as one that has.
+// TestNewServerThatHangs checks that a server that hangs before it has answered enough requests for
+// mean times of its own is suspected as quickly as one that has answered enough.
 //
-// Servers of a service with ten slots each were silent for seconds and were not
-// suspected: "state=closed inuse=10 queued=20 susp=0.0 overdue=0" of eleven servers of 47,
-// 20 more requests queued at each, while 45 of 244 requests in two seconds went unserved.
-// They had answered fewer than four requests of the route since their processes began.
+// Servers that had answered fewer than four requests of the route since their processes started
+// were not suspected although they were silent for seconds: 11 of 47 servers, with 10 slots each,
+// had all slots in use and 20 more requests queued, and 45 of 244 requests in two seconds failed.
 func TestNewServerThatHangs(t *testing.T) {
 	tests := map[string]struct {
-		// known says that the ingress has seen answers of the route.
+		// known states whether the ingress has seen responses on the route.
 		known bool
 	}{
 		"the route is known":     {true},
@@ -37,7 +36,7 @@
 				}
 			}
 			m.add(t, "b", "svc")
-			hung := m.places["b"]
+			hung := m.inbounds["b"]
 			hung.Start(t.Context(), timer.New())
 			m.Remove("a")
 			m.servers["b"].SetMode(standin.StampedHang)
@@ -46,7 +45,7 @@
 				go m.send("POST", "/pay/1", fmt.Sprint("hung-", i), "", 20*time.Second)
 			}
 			for began := time.Now(); hung.View().Breaker == "closed"; time.Sleep(10 * time.Millisecond) {
-				// Twice the objective of the route, which the mean is no longer than.
+				// This is twice the route's objective, which the mean time does not exceed.
 				assert.Assert(t, time.Since(began) < 2*time.Second, "nothing is suspected: %+v", hung.View())
 			}
 		})
--- a/outbound/leaving_test.go
+++ b/outbound/leaving_test.go
@@ -18,10 +18,10 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// TestCallerLeavesTheQueue: a request that still waits for a slot when its caller
-// leaves is never sent, of whichever kind, and frees its place in the queue.
+// TestCallerLeavesTheQueue checks that a request of any kind whose caller disconnects while it waits
+// for a slot is never sent, and is removed from the queue.
 func TestCallerLeavesTheQueue(t *testing.T) {
-	// A quarter of this time, for which a request may wait, is longer than await.
+	// A request may wait for a quarter of this time, which is longer than await waits.
 	const timeout = time.Minute
 	for _, kind := range []slatewind.Kind{slatewind.KindRepeatable, slatewind.KindSingle} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -34,22 +34,21 @@
 			for _, id := range []string{"held-1", "held-2"} {
 				held.Go(func() { m.send("POST", "/pay/1", id, "", 2*time.Second) })
 			}
-			await(t, func() bool { return m.places["a"].InUse() == meshSlots })
+			await(t, func() bool { return m.inbounds["a"].InUse() == meshSlots })
 			leave := m.sendAndLeave(t, "/long/1", "waits")
-			await(t, func() bool { return m.places["a"].View().Queued == 1 })
+			await(t, func() bool { return m.inbounds["a"].View().Queued == 1 })
 			leave()
-			await(t, func() bool { return m.places["a"].View().Queued == 0 })
+			await(t, func() bool { return m.inbounds["a"].View().Queued == 0 })
 			m.setAll(standin.StampedOK)
 			held.Wait()
-			await(t, func() bool { return m.places["a"].InUse() == 0 })
+			await(t, func() bool { return m.inbounds["a"].InUse() == 0 })
 			assert.Equal(t, m.runs("waits"), 0)
 		})
 	}
 }
 
-// TestServerLeavesTheChoice: a slot that is granted by the process beside a server
-// which, as this process knows, leaves, is not used. The other process may be cut
-// off and not know.
+// TestServerLeavesTheChoice checks that a granted slot is not used if this process knows that the
+// server is leaving. The process beside the server may be partitioned and not know.
 func TestServerLeavesTheChoice(t *testing.T) {
 	m := newMesh(t, "a")
 	m.setAll(standin.StampedHang)
@@ -57,10 +56,10 @@
 	for _, id := range []string{"held-1", "held-2"} {
 		held.Go(func() { m.send("POST", "/pay/1", id, "", time.Second) })
 	}
-	await(t, func() bool { return m.places["a"].InUse() == meshSlots })
+	await(t, func() bool { return m.inbounds["a"].InUse() == meshSlots })
 	var waiting sync.WaitGroup
 	waiting.Go(func() { m.send("POST", "/pay/1", "waits", "", 5*time.Second) })
-	await(t, func() bool { return m.places["a"].View().Queued == 1 })
+	await(t, func() bool { return m.inbounds["a"].View().Queued == 1 })
 	m.Put(time.Now(), slatewind.ServerEntry{Name: "a", Service: "svc", DataCentre: "dc", Slots: meshSlots, Leaving: true})
 	m.setAll(standin.StampedOK)
 	held.Wait()
@@ -68,8 +67,8 @@
 	assert.Equal(t, m.runs("waits"), 0)
 }
 
-// sendAndLeave sends a request in the background; leave closes its connection
-// and returns when the caller is gone.
+// sendAndLeave sends a request in the background. leave closes its connection and returns once the
+// client has stopped.
 func (m *mesh) sendAndLeave(t *testing.T, path, id string) (leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, m.callers.URL+path, nil)
@@ -89,16 +88,16 @@
 	}
 }
 
-// TestRefusalSaysWhy: a refusal tells servers that are not known from servers that
-// may not be asked, and its line counts them.
+// TestRefusalSaysWhy checks that a refusal distinguishes servers that are unknown from servers that
+// may not be asked, and that its journal entry counts the latter.
 func TestRefusalSaysWhy(t *testing.T) {
 	tests := map[string]struct {
 		servers  []string
 		reason   string
 		evidence string
 	}{
-		"no server is known":          {nil, "no server of the service is known", "status=503"},
-		"the only known one is going": {[]string{"a"}, "no known server of the service may be asked now", "known=1 asked=0 not_asked: leaving=1"},
+		"no server is known":           {nil, "no server of the service is known", "status=503"},
+		"the only known server leaves": {[]string{"a"}, "no known server of the service may be asked now", "known=1 asked=0 not_asked: leaving=1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/outbound/model_test.go
+++ b/outbound/model_test.go
@@ -11,53 +11,53 @@
 	"slatewind.example/slatewind/internal/explore"
 )
 
-// The model: one request at an ingress, which begins three attempts at most, and two
-// servers, each with the process beside it. Every process and every message may be slow: what happens
-// next is whatever may happen at all, so that a frozen process is one that takes no step
-// while others do and time runs out. What the ingress does with an attempt's result is the
-// real code (dispatch.take, learn, hedge and ended). The rest stands in code with input
-// and output and is written again; each step names the function that it stands for.
+// The model: an ingress handles one request with up to three attempts, and two servers, each with the
+// process beside it. Any process and any message may be arbitrarily slow: each step is one
+// event that may happen next, so a frozen process is one that makes no step while others do and time
+// runs out. The decisions on an attempt's result are made by the real code (dispatch.handleResult,
+// recordArrival, hedge and finishOnDone). The rest, which is code with input and output in the
+// product, is modelled: each step names the function that it models.
 const (
 	modelServers  = 2
 	modelAttempts = 3
-	// routeAttempts is to how many servers the request may be sent.
+	// routeAttempts is the maximum number of servers that may receive the request.
 	routeAttempts = 2
 )
 
-// attemptPhase is how far an attempt of the ingress has come.
+// attemptPhase is the progress of an attempt at the ingress.
 type attemptPhase uint8
 
 const (
 	attemptNone attemptPhase = iota
-	// attemptSearching: reservations are made (search.round).
+	// attemptSearching: reservations are being made (slotSearch.round).
 	attemptSearching
 	// attemptSent: the request was sent into a granted slot (Outbound.run).
 	attemptSent
 	attemptOver
 )
 
-// sidePhase is how far a reservation has come at the process beside the server.
+// sidePhase is the progress of a reservation at the process beside the server.
 type sidePhase uint8
 
 const (
 	sideNone sidePhase = iota
-	// sideAsked: the reservation is on its way, or just came.
+	// sideAsked: the reservation is in transit or has just arrived.
 	sideAsked
 	sideQueued
 	sideGranted
-	// sideRunning: the request was taken and is to be written to the server (use.run).
+	// sideRunning: the request was accepted and is about to be written to the server (use.run).
 	sideRunning
-	// sideWritten: the answer is awaited (Pool.Do).
+	// sideWritten: waiting for the server's response (Pool.Do).
 	sideWritten
 	sideClosed
 )
 
-// serverPhase is how far the request has come at the server.
+// serverPhase is the progress of the request at the server.
 type serverPhase uint8
 
 const (
 	serverNone serverPhase = iota
-	// serverHas: its bytes are in the server's buffers.
+	// serverHas: the request is in the server's buffers.
 	serverHas
 	serverRuns
 	serverAnswered
@@ -65,40 +65,40 @@
 	serverRejected
 )
 
-// modelReply is a reply of the process beside the server.
+// modelReply is a reply from the process beside the server.
 type modelReply uint8
 
 const (
 	replyNone modelReply = iota
 	replyGranted
 	replyRefused
-	// replyNotRun and replyUnknown are failures with that outcome.
+	// replyNotRun and replyUnknown are failures with these outcomes.
 	replyNotRun
 	replyUnknown
 	replyAnswer
-	// replyError is a server's own error answer.
+	// replyError is an error response of the server itself.
 	replyError
 	// replyBroken: the stream broke.
 	replyBroken
 )
 
-// modelReservation is one reservation, and the request that follows it.
+// modelReservation is one reservation and the request that follows it.
 type modelReservation struct {
 	side   sidePhase
 	server serverPhase
-	// open says that the ingress has not closed it, sent that the request is on its way.
+	// open: the ingress has not closed the reservation. sent: the request is on its way.
 	open, sent bool
-	// expired says that more than grantTime has passed since the grant.
+	// expired: more than grantTime has passed since the grant.
 	expired bool
-	// late says that it was closed because of that.
+	// late: the reservation was closed because it expired.
 	late bool
-	// replies are those that the ingress has not read, oldest first.
+	// replies holds those that the ingress has not read, oldest first.
 	replies [2]modelReply
-	// runs counts how often the server began to run the request.
+	// runs counts how often the server started to run the request.
 	runs uint8
 }
 
-// modelDispatch is the part of a dispatch by which it decides.
+// modelDispatch is the part of dispatch on which its decisions depend.
 type modelDispatch struct {
 	active, tries, arrivals uint8
 	mayHaveRun, best        bool
@@ -109,50 +109,50 @@
 	dispatch     modelDispatch
 	attempts     [modelAttempts]attemptPhase
 	reservations [modelAttempts][modelServers]modelReservation
-	// left says that the caller has left, over that the request's time is over, ending
-	// that the dispatch has noticed it.
+	// left: the caller has disconnected. over: the request's time is over. ending: the dispatch
+	// has noticed that the time is over.
 	left, over, ending bool
-	// outcome is what the caller was told; empty before.
+	// outcome is the outcome that the caller received; empty before.
 	outcome slatewind.Outcome
-	// leaving says that the process beside a server has heard that the server leaves.
+	// leaving: the process beside the server knows that the server is leaving.
 	leaving [modelServers]bool
-	// sentLeft and ranLeaving note a request that was sent for a caller that had left,
-	// or given to a server that was leaving.
+	// sentLeft: a request was sent although its caller had disconnected. ranLeaving: a request was
+	// passed to a server that was leaving.
 	sentLeft, ranLeaving bool
 }
 
-// safeguard names one that a variant of the model leaves out.
+// safeguard names a safeguard that a variant of the model leaves out.
 type safeguard string
 
 const (
-	// allSafeguards leaves none out.
+	// allSafeguards is the variant without omissions.
 	allSafeguards       safeguard = ""
 	proofBeforeRepeat   safeguard = "a single request is repeated only with a proof"
-	silenceIsNoProof    safeguard = "no reply is no proof"
+	noReplyIsNoProof    safeguard = "no reply is no proof"
 	requestAfterGrant   safeguard = "a request follows only a grant"
-	oneGrantIsUsed      safeguard = "one grant is used and the other reservations are closed"
-	lateIsNotRun        safeguard = "a request that came too late for its slot is not run"
+	oneGrantUsed        safeguard = "one grant is used and the other reservations are closed"
+	lateRefused         safeguard = "a request that came too late for its slot is not run"
 	writtenIsSent       safeguard = "a byte that was written is no proof of not run"
-	clientRepeatsNot    safeguard = "the client to the server repeats nothing"
-	errorIsNoRejection  safeguard = "a server's own error is no rejection"
-	doubtIsKept         safeguard = "a refused second attempt proves nothing of the first"
-	endWaits            safeguard = "the end of the request's time waits for its attempts"
-	leavingCheckedAgain safeguard = "a leaving server is looked at again when the request comes"
-	callerLookedAt      safeguard = "a slot is given back when its caller has left"
+	noClientRetries     safeguard = "the client to the server repeats nothing"
+	errorIsNotRejection safeguard = "a server's own error is no rejection"
+	uncertaintyKept     safeguard = "a refused second attempt proves nothing about the first"
+	waitsAtDeadline     safeguard = "the end of the request's time waits for its attempts"
+	leavingRechecked    safeguard = "whether the server is leaving is checked again when the request arrives"
+	callerChecked       safeguard = "a slot is given back when its caller has left"
 )
 
-// reservationModel is the model under one variant.
+// reservationModel is one variant of the model.
 type reservationModel struct {
 	kind    slatewind.Kind
 	without safeguard
-	// leaves and quits allow servers to leave and the caller to leave.
+	// leaves allows servers to leave, quits allows the caller to disconnect.
 	leaves, quits bool
-	// only is the one property that is looked at; nil means all.
+	// only is the one property that is checked; nil means all.
 	only      error
 	decisions map[decisionKey]decision
 }
 
-// push adds a reply.
+// push queues a reply for the ingress.
 func (r *modelReservation) push(reply modelReply) {
 	if !r.open {
 		return
@@ -164,14 +164,14 @@
 	r.replies[1] = reply
 }
 
-// pop takes the oldest reply.
+// pop removes and returns the oldest reply.
 func (r *modelReservation) pop() modelReply {
 	reply := r.replies[0]
 	r.replies = [2]modelReply{r.replies[1]}
 	return reply
 }
 
-// shut closes the ingress's end. The other end notices it at some time.
+// shut closes the ingress's end. The other end notices it at some later step.
 func (r *modelReservation) shut() {
 	r.open = false
 	r.replies = [2]modelReply{}
@@ -180,14 +180,14 @@
 	}
 }
 
-// finish ends a reservation at the process beside the server with a reply.
+// finish ends a reservation at the process beside the server with the given reply.
 func (r *modelReservation) finish(reply modelReply) {
 	r.side = sideClosed
 	r.expired = false
 	r.push(reply)
 }
 
-// Errors of the properties.
+// Violations of the properties.
 var (
 	errTwice   = errors.New("a single request ran twice")
 	errRefused = errors.New("a request that was refused as not run has run")
@@ -196,7 +196,7 @@
 	errLeft    = errors.New("a request was sent for a caller that had left")
 )
 
-// check returns which property a state breaks.
+// check returns the property that a state violates, if any.
 func (m *reservationModel) check(s modelState) error {
 	runs, reached := uint8(0), 0
 	for a := range s.reservations {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// explore visits all states.
+// explore visits all reachable states.
 func (m *reservationModel) explore() explore.Result {
 	m.decisions = map[decisionKey]decision{}
 	start := modelState{dispatch: modelDispatch{active: 1, tries: 1}}
@@ -232,8 +232,8 @@
 	}.Run()
 }
 
-// TestReservationsInAllStates: whatever is slow, lost, broken or over, a single request runs
-// at most once, and one that was refused as not run never ran and never will.
+// TestReservationsInAllStates checks that, whatever is slow, lost, broken or timed out, a single
+// request runs at most once, and a request that was refused as not run never runs.
 func TestReservationsInAllStates(t *testing.T) {
 	tests := map[string]reservationModel{
 		"a single request":                        {kind: slatewind.KindSingle},
@@ -252,7 +252,8 @@
 	}
 }
 
-// TestReservationsWithoutSafeguard: the exploration notices each safeguard that is left out.
+// TestReservationsWithoutSafeguard checks that the exploration finds the violation that follows from
+// leaving out each safeguard.
 func TestReservationsWithoutSafeguard(t *testing.T) {
 	single := reservationModel{kind: slatewind.KindSingle}
 	repeatable := reservationModel{kind: slatewind.KindRepeatable}
@@ -263,18 +264,18 @@
 		model   reservationModel
 		breaks  error
 	}{
-		"a single request is repeated without a proof": {proofBeforeRepeat, single, errTwice},
-		"silence counts as a proof":                    {silenceIsNoProof, single, errRefused},
-		"the request goes with its reservation":        {requestAfterGrant, single, errTwice},
-		"two grants are used":                          {oneGrantIsUsed, single, errTwice},
-		"a late request is run":                        {lateIsNotRun, single, errRefused},
-		"a written request counts as not sent":         {writtenIsSent, single, errRefused},
-		"the client repeats by itself":                 {clientRepeatsNot, single, errTwice},
-		"an error answer counts as a rejection":        {errorIsNoRejection, single, errRefused},
-		"a refusal clears the doubt of another":        {doubtIsKept, repeatable, errRefused},
-		"the end does not wait":                        {endWaits, single, errRefused},
-		"a leaving server is not looked at again":      {leavingCheckedAgain, leaving, errLeaving},
-		"a caller that left is not looked at":          {callerLookedAt, quitting, errLeft},
+		"a single request is repeated without a proof":     {proofBeforeRepeat, single, errTwice},
+		"silence counts as a proof":                        {noReplyIsNoProof, single, errRefused},
+		"the request goes with its reservation":            {requestAfterGrant, single, errTwice},
+		"two grants are used":                              {oneGrantUsed, single, errTwice},
+		"a late request is run":                            {lateRefused, single, errRefused},
+		"a written request counts as not sent":             {writtenIsSent, single, errRefused},
+		"the client repeats by itself":                     {noClientRetries, single, errTwice},
+		"an error answer counts as a rejection":            {errorIsNotRejection, single, errRefused},
+		"a refusal discards another attempt's uncertainty": {uncertaintyKept, repeatable, errRefused},
+		"the end does not wait":                            {waitsAtDeadline, single, errRefused},
+		"a leaving server is not checked again":            {leavingRechecked, leaving, errLeaving},
+		"the caller is not checked before sending":         {callerChecked, quitting, errLeft},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/outbound/modeldecision_test.go
+++ b/outbound/modeldecision_test.go
@@ -9,34 +9,34 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// did names the function of the dispatch that decides.
-type did uint8
+// dispatchCall names the function of dispatch that makes a decision.
+type dispatchCall uint8
 
 const (
-	didHandleResult did = iota
-	didRecordArrival
-	didFinish
-	didHedge
+	callHandleResult dispatchCall = iota
+	callRecordArrival
+	callFinish
+	callHedge
 )
 
-// decisionKey is all that a decision of the real dispatch rests on.
+// decisionKey holds everything on which a decision of the real dispatch depends.
 type decisionKey struct {
 	dispatch   modelDispatch
-	did        did
+	call       dispatchCall
 	left, over bool
 	outcome    slatewind.Outcome
 	arrived    bool
 	status     int32
 }
 
-// decision is what the real dispatch decided.
+// decision is a decision of the real dispatch.
 type decision struct {
 	after   modelDispatch
 	done    bool
 	outcome slatewind.Outcome
 }
 
-// decide has the real dispatch decide, once for each case.
+// decide returns the decision of the real dispatch, which runs once per key.
 func (m *reservationModel) decide(key decisionKey, r attemptResult) decision {
 	key.outcome, key.arrived = r.outcome, r.arrived
 	if r.answer != nil {
@@ -50,9 +50,9 @@
 	return known
 }
 
-// decideReally drives the dispatch itself. Attempts that it starts find no server.
+// runDispatch runs the real dispatch. Attempts that it starts find no server.
 func runDispatch(kind slatewind.Kind, key decisionKey, r attemptResult) decision {
-	o := New(Self{}, slatewind.CallerHeaders{}, nil, silent{}, nil, nil, silent{}, nil, nil, quarantine.NewTable(nil, nil))
+	o := New(Self{}, slatewind.CallerHeaders{}, nil, discard{}, nil, nil, discard{}, nil, nil, quarantine.NewTable(nil, nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if key.over {
@@ -73,7 +73,7 @@
 	if key.dispatch.best {
 		d.best = &requestResult{outcome: slatewind.OutcomeAnswer}
 	}
-	f, done := d.doOne(key.did, r)
+	f, done := d.call(key.call, r)
 	after := modelDispatch{uint8(d.active), uint8(d.tries), uint8(d.arrivals), d.mayHaveRun, d.best != nil}
 	cancel()
 	for range d.tries - int(key.dispatch.tries) {
@@ -82,16 +82,16 @@
 	return decision{after, done, f.outcome}
 }
 
-// doOne calls one function of the dispatch.
-func (d *dispatch) doOne(what did, r attemptResult) (f requestResult, done bool) {
+// call calls one function of the dispatch.
+func (d *dispatch) call(what dispatchCall, r attemptResult) (f requestResult, done bool) {
 	switch what {
-	case didHandleResult:
+	case callHandleResult:
 		return d.handleResult(r)
-	case didRecordArrival:
+	case callRecordArrival:
 		d.recordArrival(r)
-	case didHedge:
+	case callHedge:
 		d.hedge()
-	case didFinish:
+	case callFinish:
 		if d.active > 0 {
 			d.results <- r
 		}
@@ -100,12 +100,12 @@
 	return requestResult{}, false
 }
 
-// silent counts and writes nothing.
-type silent struct{}
+// discard implements the journal and the meter and discards everything.
+type discard struct{}
 
-func (silent) Add(slatewind.Decision)                           {}
-func (silent) Request(string, slatewind.Outcome, time.Duration) {}
-func (silent) Workspace(string, Admission)                      {}
-func (silent) Extra(_, _ string)                                {}
-func (silent) Denied(_, _ string)                               {}
-func (silent) Quarantined(string)                               {}
+func (discard) Add(slatewind.Decision)                           {}
+func (discard) Request(string, slatewind.Outcome, time.Duration) {}
+func (discard) Workspace(string, Admission)                      {}
+func (discard) Extra(_, _ string)                                {}
+func (discard) Denied(_, _ string)                               {}
+func (discard) Quarantined(string)                               {}
--- a/outbound/modelsteps_test.go
+++ b/outbound/modelsteps_test.go
@@ -5,7 +5,7 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// next lets each event happen that may.
+// next reports every possible next state to step.
 func (m *reservationModel) next(s modelState, step func(string, modelState)) {
 	m.ingress(s, step)
 	for a := range s.reservations {
@@ -26,7 +26,7 @@
 	}
 }
 
-// ingress lets the ingress, its caller and the request's time go on.
+// ingress models steps of the ingress, its caller and the request's deadline.
 func (m *reservationModel) ingress(s modelState, step func(string, modelState)) {
 	if s.outcome != "" {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// search asks servers for a slot and reads their replies (search.ask, search.take).
+// search asks servers for a slot and reads their replies (slotSearch.reserveNext, handleReply).
 func (m *reservationModel) search(s modelState, a int, step func(string, modelState)) {
 	for i := range s.reservations[a] {
 		r := &s.reservations[a][i]
@@ -74,7 +74,7 @@
 			m.readReply(s, a, i, step)
 		}
 	}
-	// Patience ends, no server is left, or the caller or the time is gone.
+	// The time to wait is over, no server is left, or the caller or the request's time is gone.
 	to := s
 	to.shut(a, modelServers)
 	m.ended(&to, a, attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeNotRun}})
@@ -91,7 +91,7 @@
 	return false
 }
 
-// shut closes the reservations of an attempt, but for one (search.close).
+// shut closes the reservations of an attempt, except for server but (slotSearch.close).
 func (s *modelState) shut(a, but int) {
 	for i := range s.reservations[a] {
 		if i != but {
@@ -100,21 +100,21 @@
 	}
 }
 
-// readReply reads one reply of a search (search.take, Outbound.acquire).
+// readReply reads one reply in a search (slotSearch.handleReply, Outbound.acquire).
 func (m *reservationModel) readReply(s modelState, a, i int, step func(string, modelState)) {
 	r := &s.reservations[a][i]
 	granted := r.pop() == replyGranted
 	switch {
 	case !granted:
 		r.shut()
-		step("a search hears of no slot", s)
-	case s.left && m.without != callerLookedAt:
+		step("a reservation ends without a slot", s)
+	case s.left && m.without != callerChecked:
 		s.shut(a, modelServers)
 		m.ended(&s, a, attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeNotRun}})
 		step("a slot is given back, since its caller has left", s)
 	default:
 		s.sentLeft = s.sentLeft || s.left
-		if m.without != oneGrantIsUsed {
+		if m.without != oneGrantUsed {
 			s.shut(a, i)
 		}
 		s.attempts[a] = attemptSent
@@ -130,7 +130,7 @@
 		if !r.open {
 			continue
 		}
-		if m.without == oneGrantIsUsed && r.replies[0] == replyGranted {
+		if m.without == oneGrantUsed && r.replies[0] == replyGranted {
 			to := s
 			to.reservations[a][i].pop()
 			to.reservations[a][i].sent = true
@@ -153,7 +153,8 @@
 	}
 }
 
-// result is what a reply says of a request that was sent (Outbound.run, Outbound.read).
+// result returns the attempt's result for a reply to a request that was sent (Outbound.run,
+// Outbound.read).
 func (m *reservationModel) result(reply modelReply) attemptResult {
 	r := attemptResult{requestResult: requestResult{outcome: slatewind.OutcomeUnknown}, arrived: true}
 	switch reply {
@@ -164,25 +165,25 @@
 	case replyError:
 		r.outcome, r.answer = slatewind.OutcomeAnswer, &answer{head: &slatewindv1.AnswerHead{Status: slatewind.MinServerErrorStatus}}
 	case replyNone, replyGranted, replyUnknown, replyBroken:
-		if m.without == silenceIsNoProof && reply == replyBroken {
+		if m.without == noReplyIsNoProof && reply == replyBroken {
 			r.outcome = slatewind.OutcomeNotRun
 		}
 	}
 	return r
 }
 
-// ended gives an attempt's result to the dispatch (dispatch.run).
+// ended passes an attempt's result to the dispatch (dispatch.run).
 func (m *reservationModel) ended(s *modelState, a int, r attemptResult) {
 	s.attempts[a] = attemptOver
 	if s.ending {
 		m.end(s, r, true)
 		return
 	}
-	if m.without == doubtIsKept {
+	if m.without == uncertaintyKept {
 		s.dispatch.mayHaveRun = false
 	}
 	s.dispatch.active--
-	d := m.decide(decisionKey{dispatch: s.dispatch, did: didHandleResult, left: s.left, over: s.over}, r)
+	d := m.decide(decisionKey{dispatch: s.dispatch, call: callHandleResult, left: s.left, over: s.over}, r)
 	if m.without == proofBeforeRepeat && r.arrived && r.answer == nil && d.done && s.dispatch.tries < modelAttempts {
 		d.done = false
 		d.after.active++
@@ -191,35 +192,35 @@
 	m.apply(s, d)
 }
 
-// end goes on with a dispatch whose time is over (dispatch.ended): it waits for the results
-// of all attempts. heard says that r is one.
-func (m *reservationModel) end(s *modelState, r attemptResult, heard bool) {
+// end continues a dispatch whose time is over (dispatch.finishOnDone): it waits for the results of
+// all attempts. received states whether r is such a result.
+func (m *reservationModel) end(s *modelState, r attemptResult, received bool) {
 	switch {
-	case m.without == endWaits && !heard:
+	case m.without == waitsAtDeadline && !received:
 		s.dispatch.active = 0
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didFinish, left: s.left, over: true}, r))
-	case heard && s.dispatch.active > 1 && r.answer == nil:
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, call: callFinish, left: s.left, over: true}, r))
+	case received && s.dispatch.active > 1 && r.answer == nil:
 		s.dispatch.active--
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didRecordArrival, left: s.left, over: true}, r))
-	case heard || s.dispatch.active == 0:
-		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, did: didFinish, left: s.left, over: true}, r))
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, call: callRecordArrival, left: s.left, over: true}, r))
+	case received || s.dispatch.active == 0:
+		m.apply(s, m.decide(decisionKey{dispatch: s.dispatch, call: callFinish, left: s.left, over: true}, r))
 	}
 }
 
-// hedge sends a repeatable request to a second server (dispatch.hedge). One hedge is
-// enough: the next is like it.
+// hedge sends a repeatable request to a second server (dispatch.hedge). One hedge is sufficient,
+// since any further one behaves in the same way.
 func (m *reservationModel) hedge(s modelState, step func(string, modelState)) {
 	if s.ending || s.attempts[0] != attemptSent || s.dispatch.tries > 1 {
 		return
 	}
-	d := m.decide(decisionKey{dispatch: s.dispatch, did: didHedge, left: s.left, over: s.over}, attemptResult{})
+	d := m.decide(decisionKey{dispatch: s.dispatch, call: callHedge, left: s.left, over: s.over}, attemptResult{})
 	if d.after.tries > s.dispatch.tries {
 		m.apply(&s, d)
-		step("a second server is asked as well", s)
+		step("a second attempt starts as a hedge", s)
 	}
 }
 
-// apply takes over what the dispatch decided.
+// apply applies a decision of the dispatch to the state.
 func (m *reservationModel) apply(s *modelState, d decision) {
 	if d.after.tries > s.dispatch.tries {
 		s.attempts[d.after.tries-1] = attemptSearching
@@ -237,7 +238,7 @@
 	}
 }
 
-// side lets the process beside the server go on with a reservation.
+// side models steps of the process beside the server for one reservation.
 func (m *reservationModel) side(s modelState, a, i int, step func(string, modelState)) {
 	r := s.reservations[a][i]
 	to := func(event string, change func(r *modelReservation)) {
@@ -254,16 +255,16 @@
 	case sideRunning, sideWritten:
 		m.running(r, to)
 	case sideClosed:
-		if m.without == lateIsNotRun && r.late && r.sent && r.server == serverNone {
+		if m.without == lateRefused && r.late && r.sent && r.server == serverNone {
 			to("a late request is run", func(r *modelReservation) { r.side = sideRunning })
 		}
 	case sideNone:
 	}
 }
 
-// stream lets the process notice that a reservation was closed (use.reserve,
-// Inbound.abandon, use.release), or the stream break, by whatever cause: the end of the
-// process is one.
+// stream models that the process notices a closed reservation (use.reserve,
+// Inbound.cancelReservation, use.release), and that the stream breaks for any cause, such as the end
+// of the process.
 func (m *reservationModel) stream(r modelReservation, to func(string, func(*modelReservation))) {
 	if !r.open && r.side < sideRunning {
 		to("a closed reservation is noticed", func(r *modelReservation) { r.side, r.expired = sideClosed, false })
@@ -273,8 +274,9 @@
 	}
 }
 
-// offer decides about a reservation (Inbound.offer, Inbound.refuses, use.decided). Full,
-// sick, stopping and over the bound on extra attempts are all the same here.
+// offer decides on a reservation (Inbound.offer, Inbound.refusalFor, use.handleDecision). Refusals
+// because the server is full, unhealthy or stopping, or because of the limit on extra attempts, are
+// the same in the model.
 func (m *reservationModel) offer(r modelReservation, leaving bool, to func(string, func(*modelReservation))) {
 	to("a reservation is refused", func(r *modelReservation) { r.finish(replyRefused) })
 	if r.side == sideAsked {
@@ -285,34 +287,34 @@
 	}
 }
 
-// granted waits for the request that uses a slot (use.receive, use.run).
+// granted waits for the request that uses a granted slot (use.receive, use.run).
 func (m *reservationModel) granted(s modelState, a, i int, to func(string, func(*modelReservation)), step func(string, modelState)) {
 	r := s.reservations[a][i]
 	if !r.expired {
-		to("a granted slot runs out", func(r *modelReservation) { r.expired = true })
+		to("a granted slot expires", func(r *modelReservation) { r.expired = true })
 	} else {
 		to("a granted slot is refused as too late", func(r *modelReservation) { r.finish(replyRefused); r.late = true })
 	}
 	if !r.sent || r.expired {
 		return
 	}
-	// The request's time may be over, or its server may leave.
+	// The request's time may be over, or its server may be leaving.
 	to("a request is refused before the start", func(r *modelReservation) { r.finish(replyRefused) })
-	if !s.leaving[i] || m.without == leavingCheckedAgain {
+	if !s.leaving[i] || m.without == leavingRechecked {
 		s.ranLeaving = s.leaving[i]
 		s.reservations[a][i].side = sideRunning
 		step("a request is taken", s)
 	}
 }
 
-// running passes the request to the server and waits for its answer (Pool.Do, use.fail,
-// use.pass).
+// running passes the request to the server and waits for the response (Pool.Do, use.fail,
+// use.forwardAnswer).
 func (m *reservationModel) running(r modelReservation, to func(string, func(*modelReservation))) {
 	finish := func(reply modelReply) func(*modelReservation) {
 		return func(r *modelReservation) { r.finish(reply) }
 	}
 	if r.side == sideRunning {
-		to("no connection to the server comes up", finish(replyNotRun))
+		to("no connection to the server is established", finish(replyNotRun))
 		to("the request is written", func(r *modelReservation) { r.side, r.server = sideWritten, serverHas })
 		return
 	}
@@ -321,7 +323,7 @@
 		broken = replyNotRun
 	}
 	to("the connection to the server breaks", finish(broken))
-	if m.without == clientRepeatsNot && r.runs < 2 {
+	if m.without == noClientRetries && r.runs < 2 {
 		to("the client sends the request again", func(r *modelReservation) { r.server = serverHas })
 	}
 	switch r.server {
@@ -329,7 +331,7 @@
 		to("an answer is passed on", finish(replyAnswer))
 	case serverFailed:
 		failed := replyError
-		if m.without == errorIsNoRejection {
+		if m.without == errorIsNotRejection {
 			failed = replyNotRun
 		}
 		to("an error answer is passed on", finish(failed))
@@ -339,7 +341,7 @@
 	}
 }
 
-// server lets a server go on with a request, whether or not anyone waits for it.
+// server models steps of a server that has a request, whether or not anyone waits for its response.
 func (m *reservationModel) server(s modelState, a, i int, step func(string, modelState)) {
 	to := func(event string, phase serverPhase, runs uint8) {
 		after := s
--- a/outbound/outbound_test.go
+++ b/outbound/outbound_test.go
@@ -28,40 +28,40 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// way is how the path to a process behaves.
-type way string
+// linkFault is a fault of the connection to a process beside a server, or of that process.
+type linkFault string
 
-// An open way is the empty word.
+// The zero value is no fault.
 const (
-	// wayRefused cannot be connected.
-	wayRefused way = "refused"
-	// waySilent takes messages and says nothing.
-	waySilent way = "silent"
-	// wayLost loses what comes back after a request was sent.
-	wayLost way = "lost"
-	// waySick has each reservation refused, after a while.
-	waySick way = "sick"
+	// linkRefused refuses connections.
+	linkRefused linkFault = "refused"
+	// linkSilent accepts messages and never replies.
+	linkSilent linkFault = "silent"
+	// linkLost loses all replies after a request was sent.
+	linkLost linkFault = "lost"
+	// linkSick refuses each reservation after a delay because the server is unhealthy.
+	linkSick linkFault = "sick"
 )
 
-// mesh is one ingress with some servers and the processes beside them.
+// mesh is one ingress, several servers and the processes beside them.
 type mesh struct {
 	*outbound.Outbound
 	store   *config.Store
 	history *history.Journal
-	// suspects are those of all processes.
+	// suspects is shared by all processes.
 	suspects *quarantine.Table
 	callers  *httptest.Server
 
-	// bounds are those of all processes beside servers.
+	// bounds apply to all processes beside servers.
 	bounds inbound.Bounds
 
-	mu      sync.Mutex
-	ways    map[string]way
-	servers map[string]*standin.Stamped
-	places  map[string]*inbound.Inbound
-	// addresses are those of the servers.
+	mu         sync.Mutex
+	linkFaults map[string]linkFault
+	servers    map[string]*standin.Stamped
+	inbounds   map[string]*inbound.Inbound
+	// addresses holds the addresses of the servers by name.
 	addresses map[string]string
-	// opened counts reservations.
+	// opened counts the reservations made.
 	opened int
 }
 
@@ -74,12 +74,12 @@
 // Heard implements outbound.Reports.
 func (m *mesh) Heard(time.Time, slatewind.ServerStart, *slatewindv1.SlotState, time.Duration) {}
 
-// Admit implements slatewind.Limiter: no workspace of a mesh has a limit.
+// Admit implements slatewind.Limiter. No workspace of a mesh has a rate limit.
 func (m *mesh) Admit(context.Context, slatewind.WorkspaceLimit) slatewind.LimitVerdict {
 	return slatewind.LimitVerdict{Allowed: true}
 }
 
-// NestedCall implements slatewind.NestedCalls: no request of a mesh is a server's call.
+// NestedCall implements slatewind.NestedCalls. No request of a mesh is a nested call.
 func (m *mesh) NestedCall(string) (slatewind.NestedCall, bool) { return slatewind.NestedCall{}, false }
 
 // Open implements outbound.Opener.
@@ -87,21 +87,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.opened++
-	place := m.places[server.Name]
-	switch m.ways[server.Name] {
-	case wayRefused:
+	in := m.inbounds[server.Name]
+	switch m.linkFaults[server.Name] {
+	case linkRefused:
 		return nil, errors.New("connection refused")
-	case waySilent:
+	case linkSilent:
 		return link.LocalUse(ctx, func(s link.UseStream) error { <-s.Context().Done(); return nil }), nil
-	case waySick:
+	case linkSick:
 		return link.LocalUse(ctx, refuseSick), nil
-	case wayLost:
-		return &lossy{Use: link.LocalUse(ctx, place.Serve), ctx: ctx}, nil
+	case linkLost:
+		return &lossy{Use: link.LocalUse(ctx, in.Serve), ctx: ctx}, nil
 	}
-	return link.LocalUse(ctx, place.Serve), nil
+	return link.LocalUse(ctx, in.Serve), nil
 }
 
-// refuseSick is the process beside a server that is sick and will be for a while.
+// refuseSick acts as the process beside a server that remains unhealthy.
 func refuseSick(s link.UseStream) error {
 	if _, err := s.Recv(); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	}}})
 }
 
-// lossy is a reservation whose replies get lost once the request was sent.
+// lossy is a reservation stream that loses all replies after a request was sent.
 type lossy struct {
 	link.Use
 	ctx  context.Context
@@ -132,8 +132,8 @@
 	return l.Use.Recv()
 }
 
-// shortWindow is the window of the bound on extra attempts in most tests. They
-// begin when it is over, so that processes may spend their slack.
+// shortWindow is the window of the limit on extra attempts in most tests. The tests start after the
+// first window, so that processes may use their slack.
 const shortWindow = 10 * time.Millisecond
 
 func newMesh(t *testing.T, names ...string) *mesh {
@@ -144,8 +144,8 @@
 
 func newBoundedMesh(t *testing.T, bounds inbound.Bounds, names ...string) *mesh {
 	m := &mesh{
-		bounds: bounds,
-		ways:   map[string]way{}, servers: map[string]*standin.Stamped{}, places: map[string]*inbound.Inbound{}, addresses: map[string]string{},
+		bounds:     bounds,
+		linkFaults: map[string]linkFault{}, servers: map[string]*standin.Stamped{}, inbounds: map[string]*inbound.Inbound{}, addresses: map[string]string{},
 		history: history.New(0, nil), suspects: quarantine.NewTable(nil, nil),
 	}
 	m.store = config.NewStore(m.history)
@@ -167,26 +167,26 @@
 	web := httptest.NewServer(server)
 	t.Cleanup(web.Close)
 	entry := slatewind.ServerEntry{Name: name, Service: service, Address: strings.TrimPrefix(web.URL, "http://"), DataCentre: "dc", Slots: 2}
-	place := inbound.New(inbound.Server{Service: service, Address: entry.Address, Dialect: platform.Servers()}, m.bounds, m.history, m.suspects)
-	t.Cleanup(place.Close)
-	place.Published(time.Now(), &entry)
+	in := inbound.New(inbound.Server{Service: service, Address: entry.Address, Dialect: platform.Servers()}, m.bounds, m.history, m.suspects)
+	t.Cleanup(in.Close)
+	in.Published(time.Now(), &entry)
 	m.mu.Lock()
-	m.servers[name], m.places[name], m.addresses[name] = server, place, entry.Address
+	m.servers[name], m.inbounds[name], m.addresses[name] = server, in, entry.Address
 	m.mu.Unlock()
 	m.Put(time.Now(), entry)
 }
 
-// Put is as the ingress's, and has the processes share the bound anew.
+// Put updates the ingress and redistributes the limit on extra attempts among the processes.
 func (m *mesh) Put(now time.Time, entry slatewind.ServerEntry) {
 	m.Outbound.Put(now, entry)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, place := range m.places {
-		place.SetSharer(m.Sharer("svc", m.addresses[name]))
+	for name, in := range m.inbounds {
+		in.SetSharer(m.Sharer("svc", m.addresses[name]))
 	}
 }
 
-// publish puts settings in force: a route for each kind and one that is split.
+// publish puts settings in force that have one route of each kind, and any further routes.
 func (m *mesh) publish(version uint64, more ...*slatewindv1.Route) {
 	route := func(prefix string, kind slatewind.Kind) *slatewindv1.Route {
 		return &slatewindv1.Route{
@@ -200,7 +200,7 @@
 	}})
 }
 
-// got is what a caller got.
+// got is a response as received by a caller.
 type got struct {
 	status     int
 	body       string
@@ -228,7 +228,7 @@
 	return got{response.StatusCode, string(text), after, time.Since(began)}
 }
 
-// runs returns how often all servers together ran a request.
+// runs returns how often a request ran on all servers together.
 func (m *mesh) runs(id string) int {
 	n := 0
 	for _, server := range m.servers {
@@ -245,14 +245,14 @@
 	return n
 }
 
-// openings returns how many reservations were made.
+// openings returns the number of reservations made.
 func (m *mesh) openings() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.opened
 }
 
-// setAll has every server behave alike, but for some.
+// setAll sets the mode of all servers, except that those named in but get StampedOK.
 func (m *mesh) setAll(mode standin.StampedMode, but ...string) {
 	for name, server := range m.servers {
 		server.SetMode(mode)
@@ -264,16 +264,16 @@
 	}
 }
 
-// TestOneRequest: what a caller of each kind gets, by how the three servers and
-// the ways to them behave, how often it ran, and that a refusal is true.
+// TestOneRequest checks, for several failures of the three servers and of the links to them, which
+// response a caller gets, how often its request ran, and that a refused request did not run.
 func TestOneRequest(t *testing.T) {
 	all := func(mode standin.StampedMode, but ...string) func(*mesh) {
 		return func(m *mesh) { m.setAll(mode, but...) }
 	}
-	ways := func(w way, names ...string) func(*mesh) {
+	faults := func(f linkFault, names ...string) func(*mesh) {
 		return func(m *mesh) {
 			for _, name := range names {
-				m.ways[name] = w
+				m.linkFaults[name] = f
 			}
 		}
 	}
@@ -282,7 +282,7 @@
 		path   string
 		status int
 		runs   int
-		// arrivals bounds what servers saw.
+		// arrivals is the maximum number of requests that servers receive.
 		arrivals int
 	}{
 		"all is well":                            {func(*mesh) {}, "/pay/1", 200, 1, 1},
@@ -293,10 +293,10 @@
 		"repeatable, the servers' own errors":    {all(standin.StampedError), "/look/1", 500, 2, 2},
 		"single, rejected everywhere":            {all(standin.StampedShed), "/pay/1", 503, 0, 2},
 		"single, an answer that is cut":          {all(standin.StampedCut), "/pay/1", 502, 1, 1},
-		"single, two of three cannot be reached": {ways(wayRefused, "a", "b"), "/pay/1", 200, 1, 1},
-		"single, two of three are silent":        {ways(waySilent, "a", "b"), "/pay/1", 200, 1, 1},
-		"single, no process can be reached":      {ways(wayRefused, "a", "b", "c"), "/pay/1", 503, 0, 0},
-		"single, all processes are silent":       {ways(waySilent, "a", "b", "c"), "/pay/1", 503, 0, 0},
+		"single, two of three cannot be reached": {faults(linkRefused, "a", "b"), "/pay/1", 200, 1, 1},
+		"single, two of three are silent":        {faults(linkSilent, "a", "b"), "/pay/1", 200, 1, 1},
+		"single, no process can be reached":      {faults(linkRefused, "a", "b", "c"), "/pay/1", 503, 0, 0},
+		"single, all processes are silent":       {faults(linkSilent, "a", "b", "c"), "/pay/1", 503, 0, 0},
 		"no route":                               {func(*mesh) {}, "/other/1", 404, 0, 0},
 		"the path of a route without its slash":  {func(*mesh) {}, "/payment/1", 404, 0, 0},
 	}
@@ -309,19 +309,19 @@
 			assert.Equal(t, m.runs("id"), test.runs)
 			assert.Assert(t, m.arrivals() <= test.arrivals, m.arrivals())
 			if g.status == http.StatusServiceUnavailable {
-				assert.Assert(t, g.retryAfter > 0, "a refusal says when to come back")
+				assert.Assert(t, g.retryAfter > 0, "refusal without Retry-After")
 			}
 			if g.status == http.StatusOK {
 				assert.Assert(t, strings.HasSuffix(g.body, test.path+" body"), g.body)
 				return
 			}
-			assert.Assert(t, len(m.history.Find(history.Filter{Request: "id"})) > 0, "the journal does not explain it")
+			assert.Assert(t, len(m.history.Find(history.Filter{Request: "id"})) > 0, "the journal has no entry for the request")
 		})
 	}
 }
 
-// TestRetryGoesElsewhere: a repeatable request that one server fails is answered
-// by another, and the next careful one does not go to the sick server.
+// TestRetryGoesElsewhere checks that a repeatable request that fails on one server is answered by
+// another, and that later single requests are not sent to the unhealthy server.
 func TestRetryGoesElsewhere(t *testing.T) {
 	m := newMesh(t, "a", "b", "c")
 	m.setAll(standin.StampedOK)
@@ -330,7 +330,7 @@
 		g := m.send("GET", "/look/1", fmt.Sprint("look-", i), "", 2*time.Second)
 		assert.Equal(t, g.status, 200, g.body)
 	}
-	assert.Assert(t, m.servers["a"].Arrivals() > 0, "the sick server was met")
+	assert.Assert(t, m.servers["a"].Arrivals() > 0, "the unhealthy server received no request")
 	before := m.servers["a"].Arrivals()
 	for i := range 30 {
 		g := m.send("POST", "/pay/1", fmt.Sprint("pay-", i), "", 2*time.Second)
@@ -339,20 +339,20 @@
 	assert.Equal(t, m.servers["a"].Arrivals(), before)
 }
 
-// TestLostReply: when nothing comes back after a request was sent, a single one
-// is not sent again, and its caller gets an answer that promises nothing.
+// TestLostReply checks that a single request without a reply is not sent again, and that its caller
+// gets a response that does not say whether it ran.
 func TestLostReply(t *testing.T) {
 	m := newMesh(t, "a", "b", "c")
 	for _, name := range []string{"a", "b", "c"} {
-		m.ways[name] = wayLost
+		m.linkFaults[name] = linkLost
 	}
 	g := m.send("POST", "/pay/1", "id", "", 300*time.Millisecond)
 	assert.Equal(t, g.status, http.StatusGatewayTimeout, g.body)
 	assert.Equal(t, m.runs("id"), 1)
 }
 
-// TestTime: a request ends with its caller's or its route's time, whichever is
-// shorter, though its server hangs.
+// TestTime checks that a request to a server that hangs ends with the caller's deadline or the
+// route's timeout, whichever is shorter.
 func TestTime(t *testing.T) {
 	m := newMesh(t, "a")
 	m.setAll(standin.StampedHang)
@@ -366,15 +366,14 @@
 	}
 }
 
-// TestBudget: while all servers reject, they receive no more than the operators'
-// bound allows beyond the first attempts, and use what it allows, also where
-// servers come one after the other.
+// TestBudget checks that servers that reject all requests receive no more extra attempts than the
+// operators' limit allows, and most of what it allows, also while servers are added.
 func TestBudget(t *testing.T) {
 	tests := map[string]struct {
 		bounds inbound.Bounds
-		// newcomers come while the requests do.
+		// newcomers states that servers are added between the requests.
 		newcomers bool
-		// least and most bound the extra arrivals of 100 requests.
+		// least and most bound the number of extra arrivals for 100 requests.
 		least, most int
 	}{
 		"the ratio alone":                  {inbound.Bounds{RetryRatio: 0.2, RetryWindow: time.Hour}, false, 10, 20},
@@ -400,8 +399,8 @@
 	}
 }
 
-// TestHedgeIsAskedAgain: a repeatable request whose server hangs is sent to a
-// second one as soon as the bound allows it, though it did not at first.
+// TestHedgeIsAskedAgain checks that a repeatable request whose server hangs is hedged as soon as the
+// limit on extra attempts allows it, even if it did not at first.
 func TestHedgeIsAskedAgain(t *testing.T) {
 	m := newBoundedMesh(t, inbound.Bounds{RetrySlack: 60, RetryWindow: time.Second}, "a", "b")
 	m.setAll(standin.StampedHang, "b")
@@ -411,8 +410,8 @@
 	}
 }
 
-// TestBeforeSettings: a process without settings says that it cannot serve yet,
-// and never that a route does not exist.
+// TestBeforeSettings checks that a process without settings responds that it cannot serve yet, and
+// not that the route does not exist.
 func TestBeforeSettings(t *testing.T) {
 	m := newMesh(t, "a")
 	empty := config.NewStore(m.history)
@@ -423,7 +422,7 @@
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 }
 
-// TestVersions: newer settings count from the next request on, older ones never.
+// TestVersions checks that newer settings apply from the next request on, and older ones never.
 func TestVersions(t *testing.T) {
 	m := newMesh(t, "a")
 	added := &slatewindv1.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: string(slatewind.KindRepeatable), Service: "svc", Timeout: durationpb.New(time.Second)}
@@ -435,7 +434,7 @@
 	assert.Equal(t, m.send("GET", "/new/1", "c", "", time.Second).status, 404)
 }
 
-// TestSplit: a route's requests are divided by its weights.
+// TestSplit checks that the requests of a route are distributed by weight.
 func TestSplit(t *testing.T) {
 	m := newMesh(t, "a")
 	m.add(t, "b", "other")
@@ -450,7 +449,7 @@
 	assert.Assert(t, m.servers["b"].Arrivals() >= 9 && m.servers["b"].Arrivals() <= 11, m.servers["b"].Arrivals())
 }
 
-// TestLimits: a body over the limit is refused before anything is sent.
+// TestLimits checks that a request whose body exceeds the limit is refused without being sent.
 func TestLimits(t *testing.T) {
 	m := newMesh(t, "a")
 	g := m.send("POST", "/pay/1", "id", strings.Repeat("x", 101), time.Second)
@@ -458,8 +457,8 @@
 	assert.Equal(t, m.arrivals(), 0)
 }
 
-// TestCallerLeaves: a repeatable request ends with its caller, a single one goes
-// on, since breaking it off does not undo it.
+// TestCallerLeaves checks that a repeatable request is cancelled when its caller disconnects, and that
+// a single one continues, since cancelling it does not undo it.
 func TestCallerLeaves(t *testing.T) {
 	for path, freed := range map[string]bool{"/look/1": true, "/pay/1": false} {
 		t.Run(path, func(t *testing.T) {
@@ -469,17 +468,17 @@
 			await(t, func() bool { return m.runs("id") == 1 })
 			leave()
 			if freed {
-				await(t, func() bool { return m.places["a"].InUse() == 0 })
+				await(t, func() bool { return m.inbounds["a"].InUse() == 0 })
 				return
 			}
-			assert.Equal(t, m.places["a"].InUse(), 1)
+			assert.Equal(t, m.inbounds["a"].InUse(), 1)
 			m.setAll(standin.StampedOK)
-			await(t, func() bool { return m.places["a"].InUse() == 0 })
+			await(t, func() bool { return m.inbounds["a"].InUse() == 0 })
 		})
 	}
 }
 
-// TestNewerStart: a new start at an address takes the place of the older one.
+// TestNewerStart checks that a new server at an address replaces the older one.
 func TestNewerStart(t *testing.T) {
 	m := newMesh(t, "a")
 	entry := slatewind.ServerEntry{Name: "a-2", Service: "svc", Address: m.onlyAddress(t), DataCentre: "dc"}
@@ -502,5 +501,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("waited in vain")
+	t.Fatal("condition not met in time")
 }
--- a/outbound/places_test.go
+++ b/outbound/places_test.go
@@ -10,9 +10,9 @@
 	"slatewind.example/slatewind/outbound"
 )
 
-// TestServersAtOneAddress: at one address the server counts that started last, in whatever
-// order their entries come; one that seems to have started earlier counts once that is gone,
-// since clocks of VMs differ.
+// TestServersAtOneAddress checks that of the servers at one address the one that started last takes
+// effect, in whatever order their entries arrive, and that one with an earlier start takes effect
+// once the other is removed, since the clocks of VMs differ.
 func TestServersAtOneAddress(t *testing.T) {
 	now := time.Unix(1000, 0)
 	server := func(name, service string, start int64) slatewind.ServerEntry {
@@ -26,8 +26,8 @@
 	}
 	older, newer := server("x", "a", 1), server("y", "b", 2)
 	tests := map[string]struct {
-		news []func(o *outbound.Outbound)
-		a, b int
+		updates []func(o *outbound.Outbound)
+		a, b    int
 	}{
 		"the newer comes last":             {[]func(*outbound.Outbound){put(older), put(newer)}, 0, 1},
 		"the older comes late":             {[]func(*outbound.Outbound){put(newer), put(older)}, 0, 1},
@@ -39,7 +39,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			o := outbound.New(outbound.Self{}, slatewind.CallerHeaders{}, nil, nil, nil, nil, nil, nil, nil, nil)
-			for _, event := range test.news {
+			for _, event := range test.updates {
 				event(o)
 			}
 			assert.Equal(t, serversOf(o, "a"), test.a)
@@ -49,7 +49,7 @@
 	}
 }
 
-// serversOf returns how many servers of a service are known.
+// serversOf returns the number of known servers of a service.
 func serversOf(o *outbound.Outbound, service string) int {
 	for _, view := range o.View(time.Now()).Services {
 		if view.Name == service {
--- a/outbound/stop_test.go
+++ b/outbound/stop_test.go
@@ -13,18 +13,20 @@
 	"slatewind.example/slatewind/drain"
 )
 
-// TestStopOutlastsServersProcess: a process that stops sends no request to a server whose own process ends before it, since that would cut a request for which the caller's process could wait longer.
+// TestStopOutlastsServersProcess checks that a process that is shutting down sends no request to a
+// server whose own process exits earlier if the request may need longer: that process would cut
+// it off while the caller's could still wait.
 func TestStopOutlastsServersProcess(t *testing.T) {
 	const (
 		grace = 6 * time.Second
-		// long is more than a stop lasts.
+		// long exceeds the duration of a shutdown.
 		long = 10 * time.Second
 	)
 	tests := map[string]struct {
-		// server and caller are how long ago the processes beside the server and of the caller
-		// were told to stop; a negative one goes on.
+		// server and caller are how long ago the shutdown of the process beside the server and of the
+		// caller's process began; negative if it did not.
 		server, caller time.Duration
-		// allowed is the time that the request has.
+		// allowed is the caller's deadline for the request.
 		allowed time.Duration
 		status  int
 	}{
@@ -46,7 +48,7 @@
 			})
 			now := time.Now()
 			if test.server >= 0 {
-				m.places["a"].Drain(drain.Course{Began: now.Add(-test.server), Grace: grace}, func() bool { return false })
+				m.inbounds["a"].Drain(drain.Course{Began: now.Add(-test.server), Grace: grace}, func() bool { return false })
 			}
 			if test.caller >= 0 {
 				m.Drain(drain.Course{Began: now.Add(-test.caller), Grace: grace})
--- a/outbound/suspended_test.go
+++ b/outbound/suspended_test.go
@@ -9,8 +9,8 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestSuspendedRequest: a request has no more time left, also where the VM was suspended while it
-// looked for a slot: its caller has waited as long.
+// TestSuspendedRequest checks that time during which the VM was suspended counts against a request's
+// deadline, since its caller kept waiting.
 func TestSuspendedRequest(t *testing.T) {
 	suspended := time.Minute
 	now := time.Now()
--- a/outbound/waiting_test.go
+++ b/outbound/waiting_test.go
@@ -16,17 +16,17 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// bulk is the body of a large request, in bytes; servers in other data centres
-// are dear for it.
+// bulk is the size of a large request body, in bytes, large enough that servers in other data centres
+// have a high cost.
 const bulk = 16 << 10
 
-// meshSlots is how many slots each server of a mesh has.
+// meshSlots is the number of slots of each server of a mesh.
 const meshSlots = 2
 
-// publishBulk puts a route in force whose requests may be large and wait long.
+// publishBulk publishes a route whose requests may be large and wait for long.
 func (m *mesh) publishBulk() { m.publishLarge(2, "/bulk/", 200*time.Millisecond) }
 
-// publishLarge puts a single route in force whose requests may be large.
+// publishLarge publishes a route of kind single whose requests may be large.
 func (m *mesh) publishLarge(version uint64, prefix string, objective time.Duration) {
 	m.store.Adopt(time.Now(), "test", &slatewind.PublishedSettings{Version: version, Fleet: &slatewindv1.Fleet{
 		Routes: []*slatewindv1.Route{{
@@ -37,16 +37,16 @@
 	}})
 }
 
-// moveFar says that a server stands in another data centre.
+// moveFar moves a server to another data centre.
 func (m *mesh) moveFar(name string) {
 	m.mu.Lock()
-	address := m.places[name].View().Address
+	address := m.inbounds[name].View().Address
 	m.mu.Unlock()
 	m.Put(time.Now(), slatewind.ServerEntry{Name: name, Service: "svc", Address: address, DataCentre: "far", Slots: meshSlots})
 }
 
-// TestWaitsNearThenAsksFar: a large request waits at the full servers of its own
-// data centre for a moment, and then takes a free slot elsewhere.
+// TestWaitsNearThenAsksFar checks that a large request first waits at the full servers of its own data
+// centre, and after a while takes a free slot in another.
 func TestWaitsNearThenAsksFar(t *testing.T) {
 	m := newMesh(t, "a", "b", "c")
 	m.publishBulk()
@@ -58,7 +58,7 @@
 		held.Go(func() { m.send("POST", "/bulk/1", fmt.Sprint("held-", i), body, 20*time.Second) })
 	}
 	await(t, func() bool {
-		return m.places["a"].InUse()+m.places["b"].InUse()+m.places["c"].InUse() == nearSlots
+		return m.inbounds["a"].InUse()+m.inbounds["b"].InUse()+m.inbounds["c"].InUse() == nearSlots
 	})
 	m.add(t, "d", "svc")
 	m.moveFar("d")
@@ -69,8 +69,8 @@
 	held.Wait()
 }
 
-// TestQueuesNearFirst: a request that waits at the full servers of its own data
-// centre does not at once ask one elsewhere that is far dearer.
+// TestQueuesNearFirst checks that a request that waits at the full servers of its own data centre does
+// not immediately ask a server in another one at a much higher cost.
 func TestQueuesNearFirst(t *testing.T) {
 	m := newMesh(t, "a", "b")
 	m.publishBulk()
@@ -81,34 +81,32 @@
 	for i := range nearSlots {
 		held.Go(func() { m.send("POST", "/bulk/1", fmt.Sprint("held-", i), body, 20*time.Second) })
 	}
-	await(t, func() bool { return m.places["a"].InUse()+m.places["b"].InUse() == nearSlots })
+	await(t, func() bool { return m.inbounds["a"].InUse()+m.inbounds["b"].InUse() == nearSlots })
 	m.add(t, "far", "svc")
 	m.moveFar("far")
-	// With an objective so long the test is over before the request asks further.
+	// With an objective this long, the test ends before the request asks further servers.
 	m.publishLarge(3, "/patient/", time.Hour)
 	held.Go(func() { m.send("POST", "/patient/1", "id", body, time.Hour) })
-	await(t, func() bool { return m.places["a"].View().Queued+m.places["b"].View().Queued == 2 })
+	await(t, func() bool { return m.inbounds["a"].View().Queued+m.inbounds["b"].View().Queued == 2 })
 	m.setAll(standin.StampedOK)
 	held.Wait()
 	assert.Equal(t, m.runs("id"), 1)
 	assert.Equal(t, m.servers["far"].Arrivals(), 0)
 }
 
-// TestSearchPastManySickServers: a request finds the one server that is well among
-// many that are sick, though each refusal takes a while: the more there were, the more
-// servers are asked side by side.
+// TestSearchPastManySickServers checks that a request finds the only healthy server among many
+// unhealthy ones although each refusal takes a while, by asking several at once.
 //
-// While four servers in ten were slow and others lost answers, 1,086 requests in eight
-// seconds ended with "the server is ejected". What settled it: lines such as "sick:
-// 88, known=178 asked=92 left=72 took=976ms": one server after the other was asked, about
-// ten milliseconds each, and the patience was over before those that were well had their
-// turn.
+// While two in five servers were slow and others lost responses, 1,086 requests in eight seconds were
+// refused as "the server is ejected": servers were asked one after another at about 10 ms each, and
+// the time to wait for a slot was over before the healthy ones were asked, for example after 976 ms
+// with 92 of 178 servers asked, 88 of them unhealthy.
 func TestSearchPastManySickServers(t *testing.T) {
 	const sick = 40
 	m := newMesh(t)
 	for i := range sick {
 		name := fmt.Sprint("sick-", i)
-		m.ways[name] = waySick
+		m.linkFaults[name] = linkSick
 		m.Put(time.Now(), slatewind.ServerEntry{Name: name, Service: "svc", Address: fmt.Sprint("10.0.0.1:", i), DataCentre: "dc", Slots: 2})
 	}
 	m.add(t, "well", "svc")
