--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -202,7 +202,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	share := NewShare(storeOf{f, self}, f, self, seeds)
-	share.draw = func(n int) int { return f.draw(self, n) }
+	share.intN = func(n int) int { return f.draw(self, n) }
 	f.shares[self] = share
 	f.sinks[self] = newHeardBy()
 	f.watchers[self] = NewWatcher(share, f.sinks[self])
--- a/discovery/elect_test.go
+++ b/discovery/ranking_test.go
@@ -39,7 +39,7 @@
 					places = append(places, Place{fmt.Sprintf("10.%d.%d.%d:1", dc, i/250, i%250), fmt.Sprint("dc-", dc)})
 				}
 			}
-			elected := newElectorate(places).readers(nobody)
+			elected := newRanking(places).readers(nobody)
 			assert.Equal(t, len(elected), test.readers)
 			with := map[string]int{}
 			for _, place := range elected {
@@ -47,7 +47,7 @@
 			}
 			assert.Equal(t, len(with) < len(test.sizes), test.far)
 			slices.Reverse(places)
-			assert.DeepEqual(t, newElectorate(places).readers(nobody), elected)
+			assert.DeepEqual(t, newRanking(places).readers(nobody), elected)
 		})
 	}
 }
@@ -59,7 +59,7 @@
 	for i := range 60 {
 		places = append(places, Place{fmt.Sprint("10.0.0.", i, ":1"), fmt.Sprint("dc-", i%2)})
 	}
-	e := newElectorate(places)
+	e := newRanking(places)
 	before := e.readers(nobody)
 	after := e.readers(func(address string) bool { return address == before[0].Address })
 	assert.Equal(t, len(after), len(before))
@@ -74,9 +74,9 @@
 	w := NewWatcher(nil, nil)
 	for i := range 21_000 {
 		name := fmt.Sprint("s-", i)
-		w.servers[name] = known{ServerEntry: slatewind.ServerEntry{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:1", i%6, i/250, i%250), DataCentre: fmt.Sprint("dc-", i%6)}}
+		w.servers[name] = knownServer{ServerEntry: slatewind.ServerEntry{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:1", i%6, i/250, i%250), DataCentre: fmt.Sprint("dc-", i%6)}}
 	}
 	for b.Loop() {
-		w.ranks().readers(nobody)
+		w.currentRanking().readers(nobody)
 	}
 }
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -1,10 +1,10 @@
-// Package discovery keeps a process's views of what the platform publishes
-// fresh: which settings are in force and which servers there are.
+// Package discovery keeps a process's view of the data that the platform publishes up to date:
+// the settings in force and the list of servers.
 //
-// There are two ways. A Reader serves the product's own YAML file and list of
-// VMs: a few processes read, the others hear of it by gossip. A Watcher follows
-// the servers that record themselves in the platform's store, through a Share,
-// with which a few processes of each data centre read for all.
+// There are two mechanisms. A Reader serves the product's own YAML file and list of VMs: a few
+// processes read them and the others receive them by gossip. A Watcher follows the servers that
+// register themselves in the platform's store, through a SharedSource, with which a few processes
+// read the store on behalf of all.
 package discovery
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// listInterval is the time between two looks at the VM list.
+	// listInterval is the time between two reads of the VM list.
 	listInterval = 5 * time.Second
-	// idleInterval is how often a process that does not read asks whether it
-	// should.
+	// idleInterval is the time after which a process that is not a reader checks again whether it
+	// is one.
 	idleInterval = time.Second
-	// minBackoff and maxBackoff bound the wait after a failed call.
+	// minBackoff and maxBackoff bound the backoff after a failed call.
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 5 * time.Second
 )
 
-// Views takes what the platform tells.
+// PlatformSink receives what a Reader reads from the platform.
 type Views interface {
-	// MayRead reports whether this process reads the platform now.
+	// MayRead reports whether this process is a reader of the platform now.
 	MayRead(now time.Time) bool
-	// PlatformSeen notes a look at the platform.
+	// PlatformSeen records a successful read from the platform.
 	PlatformSeen(now time.Time)
-	// Listed takes the VM list.
+	// Listed delivers the VM list.
 	Listed(now time.Time, vms []slatewind.VM)
-	// Offer takes the operators' file.
+	// Offer delivers the operators' file; source names its origin.
 	Offer(now time.Time, source string, revision slatewind.Revision, text []byte)
 }
 
@@ -43,30 +43,30 @@
 	PlatformCall(what string, err error)
 }
 
-// Reader watches the platform while this process is one of its data centre's
-// readers. At its start every process looks once, so that it begins with the
-// newest of what the platform and its peers know.
+// Reader reads the platform while this process is one of the readers of its data centre. At its
+// start, every process reads once, so that it has the newest data that the platform or its peers
+// hold.
 type Reader struct {
 	config slatewind.ConfigSource
 	vms    slatewind.VMSource
 	views  Views
 	meter  CallMeter
-	// revision is the newest that this process saw at the platform.
+	// revision is the newest revision that was read from the platform.
 	revision slatewind.Revision
 }
 
-// NewReader returns a reader.
+// NewReader returns a Reader that delivers to views.
 func NewReader(config slatewind.ConfigSource, vms slatewind.VMSource, views Views, meter CallMeter) *Reader {
 	return &Reader{config: config, vms: vms, views: views, meter: meter}
 }
 
-// Start looks at the platform once and then watches it until ctx ends.
+// Start reads the platform once, and then as long as this process is a reader, until ctx ends.
 func (r *Reader) Start(ctx context.Context) {
 	go r.loop(ctx, idleInterval, r.watch)
 	go r.loop(ctx, listInterval, r.list)
 }
 
-// loop calls look once, and then again while this process is a reader.
+// loop calls read until it succeeds once, and then repeatedly while this process is a reader.
 func (r *Reader) loop(ctx context.Context, interval time.Duration, look func(context.Context) error) {
 	backoff := minBackoff
 	for first := true; ctx.Err() == nil; {
@@ -74,7 +74,7 @@
 		if first || r.views.MayRead(time.Now()) {
 			err := look(ctx)
 			if err != nil {
-				wait = spread(backoff)
+				wait = jitter(backoff)
 				backoff = min(2*backoff, maxBackoff)
 			} else {
 				backoff = minBackoff
@@ -85,13 +85,13 @@
 	}
 }
 
-// spread returns a random time from half of d to one and a half of it, so that
-// processes which failed together do not all call again at once.
-func spread(d time.Duration) time.Duration {
+// jitter returns a random duration between 0.5 d and 1.5 d, so that processes that failed
+// together do not retry at the same moment.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
-// sleep waits for d or until ctx ends. It sets no timer where there is nothing to wait for.
+// sleep waits for d or until ctx ends. It sets no timer if d is not positive.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -104,7 +104,7 @@
 	}
 }
 
-// watch waits for a change of the operators' file.
+// watch polls for a change of the operators' file.
 func (r *Reader) watch(ctx context.Context) error {
 	file, err := r.config.Watch(ctx, r.revision)
 	r.meter.PlatformCall("settings", err)
--- a/discovery/restored_test.go
+++ b/discovery/restore_test.go
@@ -233,11 +233,11 @@
 	case moveAgain:
 		m.writeAgain()
 	case moveRead:
-		m.reader.take(m.now, m.store.read(m.reader.after()))
+		m.reader.apply(m.now, m.store.read(m.reader.after()))
 	case moveAsk:
 		m.ask()
 	case moveLook:
-		m.other.take(m.now, m.store.read(m.other.after()))
+		m.other.apply(m.now, m.store.read(m.other.after()))
 	case moveBegin:
 		m.other = newModelProcess()
 		m.play(moveLook)
@@ -281,7 +281,7 @@
 	if m.variant.dropsLower && p.Revision.Number < m.other.Revision().Number {
 		return
 	}
-	m.other.take(m.now, p)
+	m.other.apply(m.now, p)
 }
 
 // settle lets all be written and heard that is to be, and time pass.
@@ -292,7 +292,7 @@
 	for range 2 {
 		m.play(moveRead)
 		m.play(moveAsk)
-		m.now = m.now.Add(2 * lapseTime)
+		m.now = m.now.Add(2 * renewalGrace)
 		for _, p := range []*modelProcess{m.reader, m.other} {
 			p.expire(m.now)
 		}
@@ -395,12 +395,12 @@
 		names[i] = fmt.Sprint("server-", i)
 	}
 	reader, other := NewWatcher(nil, newHeardBy()), NewWatcher(nil, newHeardBy())
-	reader.take(now, all(50, names...).ServerUpdate)
+	reader.apply(now, all(50, names...).ServerUpdate)
 	relayed := reader.Since(other.Revision())
 	relayed.Relayed = true
-	other.take(now, relayed)
+	other.apply(now, relayed)
 	taken := slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 40}, Complete: true, Servers: servers(names[1:]...)}
-	reader.take(now, taken)
+	reader.apply(now, taken)
 	news := reader.Since(other.Revision())
 	assert.Equal(t, len(news.Servers), 0)
 	assert.DeepEqual(t, news.Removed, names[:1])
--- a/discovery/services.go
+++ b/discovery/servicefilter.go
@@ -9,29 +9,29 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// ServiceError says that an entry is of a service that no settings name.
+// ServiceError reports an entry of a service that no received settings define or use.
 type ServiceError struct{ Entry slatewind.ServerEntry }
 
 // Error implements error.
 func (e *ServiceError) Error() string {
-	return fmt.Sprintf("server %s: no settings name the service %q", e.Entry.Name, e.Entry.Service)
+	return fmt.Sprintf("server %s: no settings define or use the service %q", e.Entry.Name, e.Entry.Service)
 }
 
-// Services passes a watcher's news on to a sink, but for the servers of services that no
-// settings have named yet. These wait, and are passed on once settings name their service:
-// settings and servers come in any order. A service that was named once stays so, since a
-// process may hear of an older version last; without a route nothing is sent there.
+// ServiceFilter is a Sink that forwards to another one only the servers of services that the
+// settings name. Settings and servers may arrive in any order, so other servers are held back
+// until settings name their service. A service that was named once stays accepted, since an older
+// version of the settings may arrive last; no requests are sent to it without a route.
 type Services struct {
 	Sink
 
 	mu sync.Mutex
-	// named holds the services that settings have named, waiting by their names the servers
-	// of others.
+	// named holds the services that settings have named. waiting holds, by name, the servers that
+	// are held back. mu guards both.
 	named   map[string]bool
 	waiting map[string]slatewind.ServerEntry
 }
 
-// NewServices returns a filter before a sink. No service is named yet.
+// NewServiceFilter returns a filter that forwards to sink. No service is accepted yet.
 func NewServices(sink Sink) *Services {
 	return &Services{Sink: sink, named: map[string]bool{}, waiting: map[string]slatewind.ServerEntry{}}
 }
@@ -56,14 +56,15 @@
 func (s *Services) ServerGone(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, waits := s.waiting[name]; waits {
+	if _, held := s.waiting[name]; held {
 		delete(s.waiting, name)
 		return
 	}
 	s.Sink.ServerGone(now, name)
 }
 
-// Name notes which services settings name, and passes on the servers that waited for that.
+// ApplySettings accepts the services that fleet names, and forwards the servers that were held
+// back for them.
 func (s *Services) Name(now time.Time, fleet *slatewindv1.Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,7 @@
 		s.named[service.GetName()] = true
 	}
 	for _, route := range fleet.GetRoutes() {
-		s.nameRoute(route)
+		s.acceptRoute(route)
 	}
 	for name, entry := range s.waiting {
 		if s.named[entry.Service] {
@@ -81,8 +82,8 @@
 	}
 }
 
-// nameRoute names the services of a route. The lock is held.
-func (s *Services) nameRoute(route *slatewindv1.Route) {
+// acceptRoute accepts the services of a route. s.mu is held.
+func (s *Services) acceptRoute(route *slatewindv1.Route) {
 	if service := route.GetService(); service != "" {
 		s.named[service] = true
 	}
--- /dev/null
+++ b/discovery/settings.go
@@ -0,0 +1,326 @@
+package discovery
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"slatewind.example/slatewind"
+)
+
+const (
+	// settingsPollWait is the time for which the store may hold a poll for settings. A poll whose
+	// answer is lost is detected after this time and the timeout of the call. That is less than
+	// the three seconds by which settings may be late after a failure.
+	settingsPollWait = 2 * time.Second
+	// initialPollWait is the hold time for a process that has no settings yet. It may be longer
+	// because such a process learns from its peers that settings exist if the answer to its poll
+	// is lost.
+	initialPollWait = 8 * time.Second
+	// settingsPollInterval is the minimum time between two polls for settings: if settings are
+	// published in quick succession, only the newest matter.
+	settingsPollInterval = 100 * time.Millisecond
+	// peerFetchInterval is the time between two rounds of requests to peers for settings, and
+	// peerFetchTimeout the time after which the store is queried instead.
+	peerFetchInterval = 50 * time.Millisecond
+	peerFetchTimeout  = time.Second
+	// maxSettingsBackoff bounds the backoff after a failed call; RestartPoll ends the backoff
+	// early.
+	maxSettingsBackoff = 2 * time.Second
+)
+
+// SettingsPeers fetches settings from other processes.
+type SettingsPeers interface {
+	// Settings returns the settings of the process beside the server at address if they are newer
+	// than version. It returns nil if they are not, or if that process is already sending
+	// settings to as many others as it allows.
+	Settings(ctx context.Context, address string, version uint64) (*slatewind.PublishedSettings, error)
+}
+
+// SettingsSink receives settings. Its methods are not called concurrently.
+type SettingsSink interface {
+	// Settings delivers settings; from is the address of the server beside the process that sent
+	// them, or empty for the store, and took is the duration of the transfer.
+	Settings(now time.Time, settings *slatewind.PublishedSettings, from string, took time.Duration)
+	// InvalidData reports settings that could not be decoded.
+	Finding(now time.Time, err error)
+	// SettingsReachable reports that polls for settings started to fail, or succeed again.
+	SettingsReach(now time.Time, reachable bool, cause error)
+	// PeerFetchFailed reports that a process could not be asked for its settings.
+	NotHanded(now time.Time, from string, cause error)
+}
+
+// SettingsWatcher keeps the operators' settings up to date. Settings may be large: a megabyte, on
+// a link of 10 Mbit/s. They are therefore transferred separately from server updates, which carry
+// only the version of the settings. The readers of a data centre poll the store for settings; the
+// other processes fetch them from any process that has them.
+type Feed struct {
+	store  slatewind.SettingsSource
+	peers  SettingsPeers
+	source *Share
+	sink   SettingsSink
+	// wake ends the wait of a process that has nothing to do.
+	wake chan struct{}
+
+	// mu guards the fields below.
+	mu       sync.Mutex
+	settings *slatewind.PublishedSettings
+	// revision is the store's revision up to which the settings are known.
+	revision slatewind.Revision
+	// newestVersion is the highest version that is known to exist. holder is the address of a
+	// process that has it, or empty.
+	newestVersion uint64
+	holder        string
+	// cancelPoll cancels the current call to the store; nil if there is none.
+	cancelPoll context.CancelFunc
+	// pollOnce makes the next step poll the store even if this process is not a reader.
+	pollOnce bool
+}
+
+// NewSettingsWatcher returns a watcher that has no settings yet. source determines whether this
+// process is a reader.
+func NewFeed(store slatewind.SettingsSource, peers SettingsPeers, source *Share, sink SettingsSink) *Feed {
+	return &Feed{store: store, peers: peers, source: source, sink: sink, wake: make(chan struct{}, 1)}
+}
+
+// Start polls for settings until ctx ends.
+func (w *Feed) Start(ctx context.Context) {
+	go w.loop(ctx)
+}
+
+func (w *Feed) loop(ctx context.Context) {
+	retry, unreachable := minRetry, false
+	for ctx.Err() == nil {
+		err := w.step(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if unreachable != (err != nil) {
+			unreachable = err != nil
+			w.sink.SettingsReach(time.Now(), !unreachable, err)
+		}
+		if unreachable {
+			w.waitForWork(ctx, time.After(jitter(retry)))
+			retry = min(2*retry, maxSettingsBackoff)
+			continue
+		}
+		retry = minRetry
+	}
+}
+
+// waitForWork waits for a wake-up, for until, or for the end of ctx.
+func (w *Feed) waitForWork(ctx context.Context, until <-chan time.Time) {
+	select {
+	case <-w.wake:
+	case <-until:
+	case <-ctx.Done():
+	}
+}
+
+// step tries once to get newer settings, or waits if there is nothing to do. A process that
+// starts polls the store, which is quicker than finding a peer that has settings. If the poll
+// brings no newer settings or fails, but a newer version is known, it is fetched from peers: a
+// store that was restored from a backup may lack settings that peers have.
+func (w *Feed) step(ctx context.Context) error {
+	if wait, due := w.pollDue(); due {
+		err := w.pollStore(ctx, wait)
+		switch {
+		case err == nil && !w.outdated():
+			sleep(ctx, settingsPollInterval)
+			return nil
+		case err != nil && !w.behind():
+			return err
+		}
+	}
+	if w.behind() {
+		return w.fetchFromPeers(ctx)
+	}
+	w.waitForWork(ctx, nil)
+	return nil
+}
+
+// pollDue reports whether this process should poll the store now, and for how long the store may
+// hold the poll.
+func (w *Feed) pollDue() (wait time.Duration, due bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	once := w.pollOnce
+	w.pollOnce = false
+	switch {
+	case w.source.Reads():
+		return settingsPollWait, true
+	case w.settings == nil:
+		return initialPollWait, true
+	case once:
+		return 0, true
+	}
+	return 0, false
+}
+
+// PollOnce makes the watcher poll the store once. It is for the case that the readers, from which
+// this process would learn of newer settings, fail.
+func (w *Feed) Look() {
+	w.mu.Lock()
+	w.pollOnce = true
+	w.mu.Unlock()
+	w.Wake()
+}
+
+// pollStore polls the store. A call that RestartPoll cancelled is not an error.
+func (w *Feed) pollStore(parent context.Context, wait time.Duration) error {
+	ctx, cancel := context.WithCancel(parent)
+	defer cancel()
+	w.mu.Lock()
+	after := w.revision
+	w.cancelPoll = cancel
+	w.mu.Unlock()
+	began := time.Now()
+	update, err := w.store.Settings(ctx, after, wait)
+	w.mu.Lock()
+	w.cancelPoll = nil
+	w.revision = w.revision.Later(update.Revision)
+	w.mu.Unlock()
+	if update.Err != nil {
+		w.sink.Finding(time.Now(), update.Err)
+	}
+	if update.Settings != nil {
+		w.apply(update.Settings, "", time.Since(began))
+	}
+	if cancelled := ctx.Err() != nil && parent.Err() == nil; cancelled {
+		return nil
+	}
+	return err
+}
+
+// fetchFromPeers fetches settings that are known to exist from peers and, after peerFetchTimeout,
+// from the store. In each round it queries a random process first: the process that reported the
+// version may have many requests to serve, and each process that has fetched the settings serves
+// others in turn.
+func (w *Feed) fetchFromPeers(ctx context.Context) error {
+	deadline := time.Now().Add(peerFetchTimeout)
+	for ctx.Err() == nil {
+		for _, address := range w.fetchCandidates() {
+			if w.fetchFrom(ctx, address) {
+				return nil
+			}
+			if !time.Now().Before(deadline) {
+				return w.pollStore(ctx, 0)
+			}
+		}
+		if time.Until(deadline) < peerFetchInterval {
+			break
+		}
+		sleep(ctx, peerFetchInterval)
+	}
+	return w.pollStore(ctx, 0)
+}
+
+// fetchFrom queries one process for newer settings and reports whether it had any.
+func (w *Feed) fetchFrom(ctx context.Context, address string) bool {
+	began := time.Now()
+	settings, err := w.peers.Settings(ctx, address, w.Version())
+	if err != nil {
+		w.sink.NotHanded(time.Now(), address, err)
+		return false
+	}
+	if settings == nil {
+		return false
+	}
+	w.apply(settings, address, time.Since(began))
+	return true
+}
+
+// fetchCandidates returns the processes to query for settings: a random one, from the same data
+// centre if possible, and the one that is known to have them.
+func (w *Feed) fetchCandidates() []string {
+	w.mu.Lock()
+	holder := w.holder
+	w.mu.Unlock()
+	others := w.source.otherProcesses()
+	if len(others) == 0 {
+		return nil
+	}
+	other := others[rand.IntN(len(others))]
+	if holder == "" || holder == other {
+		return []string{other}
+	}
+	return []string{other, holder}
+}
+
+// apply stores and delivers settings that are newer than the current ones.
+func (w *Feed) apply(settings *slatewind.PublishedSettings, from string, took time.Duration) {
+	w.mu.Lock()
+	w.revision = w.revision.Later(settings.Revision)
+	newer := w.settings == nil || settings.Version > w.settings.Version
+	if newer {
+		w.settings = settings
+		w.newestVersion = max(w.newestVersion, settings.Version)
+	}
+	w.mu.Unlock()
+	if newer {
+		w.sink.Settings(time.Now(), settings, from, took)
+	}
+}
+
+// ObserveVersion records that settings of a version exist; holder is the address of a process
+// that has them, or empty.
+func (w *Feed) Heard(version uint64, holder string) {
+	w.mu.Lock()
+	newer := version > w.newestVersion
+	if newer || version == w.newestVersion && holder != "" {
+		w.newestVersion, w.holder = version, holder
+	}
+	if newer && w.settings == nil && w.cancelPoll != nil {
+		w.cancelPoll()
+	}
+	w.mu.Unlock()
+	if newer {
+		w.Wake()
+	}
+}
+
+// Wake makes the watcher check at once whether there is something to do.
+func (w *Feed) Wake() {
+	select {
+	case w.wake <- struct{}{}:
+	default:
+	}
+}
+
+// RestartPoll cancels the current poll and starts a new one at once. It is called when the store
+// is reachable again, because the answer to an earlier poll may never arrive.
+func (w *Feed) Restart() {
+	defer w.Wake()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.cancelPoll != nil {
+		w.cancelPoll()
+	}
+}
+
+// behind reports whether there may be newer settings than the current ones. That is so for a
+// process that has none yet.
+func (w *Feed) behind() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.settings == nil || w.settings.Version < w.newestVersion
+}
+
+// outdated reports whether there are settings and a newer version is known to exist.
+func (w *Feed) outdated() bool { return w.behind() && w.Newest() != nil }
+
+// Current returns the newest settings that were received, or nil.
+func (w *Feed) Newest() *slatewind.PublishedSettings {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.settings
+}
+
+// Version returns the version of the current settings, or 0.
+func (w *Feed) Version() uint64 {
+	if settings := w.Newest(); settings != nil {
+		return settings.Version
+	}
+	return 0
+}
--- a/discovery/feed_test.go
+++ b/discovery/settings_test.go
@@ -135,7 +135,7 @@
 				heard := newHeardBy()
 				ctx, cancel := context.WithCancel(t.Context())
 				share := NewShare(nil, nil, "own:1", nil)
-				share.reads.Store(true)
+				share.isReader.Store(true)
 				feed := NewFeed(&settingsOf{t: t, answers: test.answers}, nil, share, heard)
 				feed.Start(ctx)
 				time.Sleep(10 * time.Second)
--- a/discovery/share_test.go
+++ b/discovery/sharedsource_test.go
@@ -13,7 +13,7 @@
 func TestShare(t *testing.T) {
 	tests := map[string]func(t *testing.T, ctx context.Context, f *fleet){
 		"two read for all": func(t *testing.T, _ context.Context, f *fleet) {
-			assert.Equal(t, len(f.called()), leastReaders)
+			assert.Equal(t, len(f.called()), minReaders)
 			for name, share := range f.shares {
 				assert.Equal(t, share.Reads(), slices.Contains(f.called(), name), name)
 			}
@@ -121,7 +121,7 @@
 		const away = 10
 		settle(away * time.Second)
 		calls, pings := f.counts()
-		assert.Assert(t, calls <= leastReaders*3*away, "%d calls in %d s", calls, away)
+		assert.Assert(t, calls <= minReaders*3*away, "%d calls in %d s", calls, away)
 		assert.Assert(t, pings <= 30*away/2, "%d pings in %d s", pings, away)
 		f.allCutOff(false)
 		f.publishVersion(3)
@@ -139,7 +139,7 @@
 		f.mu.Lock()
 		asked := f.settingsCalls
 		f.mu.Unlock()
-		assert.Assert(t, asked <= 30+leastReaders*4, "%d calls for settings", asked)
+		assert.Assert(t, asked <= 30+minReaders*4, "%d calls for settings", asked)
 		victim := "server-7:1"
 		f.cutOff(victim, true)
 		f.publishVersion(1)
@@ -201,6 +201,6 @@
 		settle(10 * time.Second)
 		calls, pings := f.counts()
 		assert.Equal(t, pings, 0)
-		assert.Assert(t, calls <= leastReaders*12, "%d calls in 10 s", calls)
+		assert.Assert(t, calls <= minReaders*12, "%d calls in 10 s", calls)
 	})
 }
--- a/discovery/starts_test.go
+++ b/discovery/starts_test.go
@@ -153,7 +153,7 @@
 	for i := range h {
 		revision := i + 1
 		if m.reads[i] {
-			reader.take(now, h.read(m.after(reader), revision))
+			reader.apply(now, h.read(m.after(reader), revision))
 			want = expect(want, newest, read, h.at(revision))
 			if want != nil {
 				newest = want.Start
@@ -164,7 +164,7 @@
 		case stepAsk:
 			hearing.ask(now, other, reader)
 		case stepRead:
-			other.take(now, h.read(m.after(other), revision))
+			other.apply(now, h.read(m.after(other), revision))
 		}
 	}
 	last := h[len(h)-1]
@@ -193,7 +193,7 @@
 	p := asked.Since(asking.Revision())
 	p.Relayed = true
 	heard := !asking.Revision().After(p.Revision)
-	asking.take(now, p)
+	asking.apply(now, p)
 	if !heard {
 		return
 	}
@@ -237,11 +237,11 @@
 	for known := range len(h) {
 		sink := newStartSink()
 		w := NewWatcher(nil, sink)
-		w.take(now, h.read(0, 3))
-		w.readAnew()
+		w.apply(now, h.read(0, 3))
+		w.requestFullRead()
 		older := h.read(0, known)
 		older.Relayed = true
-		w.take(now, older)
+		w.apply(now, older)
 		assert.Equal(t, sink.broken, "")
 		assert.Assert(t, sink.entry != nil && sink.entry.Leaving, "a server that said it leaves does not come back")
 		assert.Equal(t, w.Revision(), at(3))
@@ -258,14 +258,14 @@
 	}
 	sink := newStartSink()
 	w := NewWatcher(nil, sink)
-	w.take(now, entry(0))
+	w.apply(now, entry(0))
 	assert.Assert(t, sink.entry != nil)
-	w.take(now, entry(5))
+	w.apply(now, entry(5))
 	assert.Equal(t, sink.entry.Start, int64(5))
-	w.take(now, entry(0))
+	w.apply(now, entry(0))
 	assert.Assert(t, sink.entry == nil)
 	assert.Equal(t, sink.findings, 1)
-	w.take(now, entry(5))
+	w.apply(now, entry(5))
 	assert.Equal(t, sink.entry.Start, int64(5))
 }
 
@@ -304,7 +304,7 @@
 			sink := newHeardBy()
 			w := NewWatcher(nil, sink)
 			for _, p := range test.news {
-				w.take(now, p)
+				w.apply(now, p)
 			}
 			assert.DeepEqual(t, sink.names(), test.used)
 			assert.Equal(t, sink.findings, test.findings)
@@ -339,11 +339,11 @@
 			sink := newStartSink()
 			w := NewWatcher(nil, sink)
 			for _, p := range test.news {
-				w.take(start, p)
+				w.apply(start, p)
 			}
-			w.expire(start.Add(overtakenTime - time.Millisecond))
+			w.expire(start.Add(supersededTimeout - time.Millisecond))
 			assert.Equal(t, sink.used(), test.soon)
-			w.expire(start.Add(overtakenTime))
+			w.expire(start.Add(supersededTimeout))
 			assert.Equal(t, sink.used(), test.late)
 		})
 	}
@@ -365,8 +365,8 @@
 	}
 	sink := newStartSink()
 	w := NewWatcher(nil, sink)
-	w.take(now, slatewind.ServerUpdate{Revision: at(9), Complete: true, Servers: []slatewind.ServerEntry{entry(5, 8)}})
-	w.take(now, slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 12}, Complete: true, Servers: []slatewind.ServerEntry{entry(3, 10)}})
-	w.expire(now.Add(2 * lapseTime))
+	w.apply(now, slatewind.ServerUpdate{Revision: at(9), Complete: true, Servers: []slatewind.ServerEntry{entry(5, 8)}})
+	w.apply(now, slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 12}, Complete: true, Servers: []slatewind.ServerEntry{entry(3, 10)}})
+	w.expire(now.Add(2 * renewalGrace))
 	assert.Equal(t, sink.used(), int64(5))
 }
--- a/discovery/suspended_test.go
+++ b/discovery/suspended_test.go
@@ -38,14 +38,14 @@
 	var suspended time.Duration
 	w := NewWatcher(nil, nil)
 	w.clock = suspendedFor(&suspended)
-	w.take(time.Now(), slatewind.ServerUpdate{Revision: at(1)})
+	w.apply(time.Now(), slatewind.ServerUpdate{Revision: at(1)})
 	suspended += sleep
 	assert.Assert(t, w.Since(at(1)).Age >= sleep, "%s", w.Since(at(1)).Age)
 
 	s := NewShare(nil, suspendingPeers{&suspended, sleep}, "self", nil)
 	s.clock = suspendedFor(&suspended)
-	s.feed = NewFeed(nil, nil, s, nil)
-	p, ok := s.ask(t.Context(), "reader", at(1))
+	s.settings = NewFeed(nil, nil, s, nil)
+	p, ok := s.queryPeer(t.Context(), "reader", at(1))
 	assert.Assert(t, ok)
 	assert.Assert(t, p.Age >= sleep, "%s", p.Age)
 }
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -11,145 +11,147 @@
 )
 
 const (
-	// storePace is the time between two calls to the store, which are paid for. A
-	// call does not wait for changes: how old the answer to a call that waits is
-	// cannot be told where the process was paused. peerPace is the time between two
-	// questions to a peer.
-	storePace = 900 * time.Millisecond
-	peerPace  = 450 * time.Millisecond
-	// emptyPace is the time between two calls to the store while no server is known:
-	// none can leave then, and everybody asks.
-	emptyPace = 1500 * time.Millisecond
-	// readPace follows a call that read everything: only what it told shows whom to
-	// ask from then on.
-	readPace = 100 * time.Millisecond
-	// storeTime is how long a call to a store that is well may last, on a busy
-	// process too; it answers in milliseconds.
-	storeTime = 75 * time.Millisecond
-	// NewsAge is the greatest age of a view in a process that reaches the store,
-	// whatever befalls the others: news are accepted up to freshAge, the next
-	// question follows after peerPace, it may be in vain, and then the store is
-	// asked. A leaving server gets no new work once its process knows, so this has
-	// to lie below the time that operators allow, two seconds at the least.
-	NewsAge = freshAge + peerPace + askTimeout + storeTime
-	// firstRetry and maxRetry bound the pause after a failed call.
-	firstRetry = 100 * time.Millisecond
-	maxRetry   = 400 * time.Millisecond
-	// lapseTime is how long after an outage servers may write their entries
-	// anew before they count as gone: a heartbeat of theirs.
-	lapseTime = 1500 * time.Millisecond
-	// overtakenTime is how long an entry that was true once may stand before it counts
-	// again. A server that lives overwrites it within a heartbeat, and one that
-	// does not write goes after three.
-	overtakenTime = 10 * time.Second
-	// slowCall is how long a call for news may last before it is told of. It takes
+	// storePollInterval is the time between two calls to the store, which are charged. Calls do
+	// not wait for changes: if the process was paused, the age of the answer to a long poll is
+	// unknown. peerPollInterval is the time between two queries to a peer.
+	storePollInterval = 900 * time.Millisecond
+	peerPollInterval  = 450 * time.Millisecond
+	// emptyPollInterval is the time between two calls to the store while no server is known: then
+	// no server can be leaving, and all processes call the store.
+	emptyPollInterval = 1500 * time.Millisecond
+	// postReadInterval follows the first complete read: only its result shows which peers to
+	// query from then on.
+	postReadInterval = 100 * time.Millisecond
+	// storeLatency is the maximum duration of a call to a healthy store, on a busy process too;
+	// typical calls take milliseconds.
+	storeLatency = 75 * time.Millisecond
+	// MaxViewAge is the maximum age of the view of a process that can reach the store, whatever
+	// happens to other processes: updates are accepted up to maxPeerAge, the next query follows
+	// after peerPollInterval, it may time out, and then the store is queried. A leaving server
+	// gets no new requests once the process beside it knows, so this must be below the time that
+	// operators allow, which is at least two seconds.
+	NewsAge = maxPeerAge + peerPollInterval + peerTimeout + storeLatency
+	// minRetry and maxRetry bound the backoff after a failed call.
+	minRetry = 100 * time.Millisecond
+	maxRetry = 400 * time.Millisecond
+	// renewalGrace is how long after an outage servers may renew their entries before they count
+	// as removed: one heartbeat interval of the servers.
+	renewalGrace = 1500 * time.Millisecond
+	// supersededTimeout is how long the source must list a superseded entry until it is used. A
+	// server that runs overwrites it within one heartbeat, and an entry that is not renewed
+	// expires after three.
+	supersededTimeout = 10 * time.Second
+	// slowPollTime is the duration from which a poll is reported as slow. A normal poll takes
 	// some milliseconds.
-	slowCall = 300 * time.Millisecond
-	// maxRemoved bounds how many removed servers are remembered for peers; one
-	// that asks for changes from before them gets everything.
-	maxRemoved = 1024
+	slowPollTime = 300 * time.Millisecond
+	// maxTombstones bounds the number of tombstones kept for peers. If it is exceeded, all are
+	// dropped, and peers that request earlier changes get a complete update.
+	maxTombstones = 1024
 )
 
-// Sink takes what a watcher learns. Its methods are called one after the other.
+// Sink receives the changes that a Watcher observes. Its methods are not called concurrently.
 type Sink interface {
-	// Server brings a new or changed entry.
+	// Server delivers a new or changed entry.
 	Server(now time.Time, entry slatewind.ServerEntry)
-	// ServerGone says that an entry is gone.
+	// ServerGone reports that a server was removed.
 	ServerGone(now time.Time, name string)
-	// Finding brings an entry that could not be read.
-	Finding(now time.Time, finding error)
-	// Restored says that the source came back at an earlier state.
+	// InvalidData reports an entry that cannot be decoded or is not used.
+	Finding(now time.Time, err error)
+	// Restored reports that the source returned to an earlier state: before is the revision known
+	// until then, since the revision that it has now.
 	Restored(now time.Time, before, since slatewind.Revision)
-	// Reach says that the source was lost or regained.
-	Reach(now time.Time, reached bool, cause error)
-	// Slow says that news took long to come.
-	Slow(news SlowNews)
+	// SourceReachable reports that the source became unreachable or reachable again.
+	Reach(now time.Time, reachable bool, cause error)
+	// SlowPoll reports a poll that took long.
+	Slow(poll SlowNews)
 }
 
-// SlowNews is a call for news that took long. It tells a slow source from a long
-// transfer and from an old view.
+// SlowPoll describes a poll that took long. Its fields allow to distinguish a slow source from a
+// long transfer and from an old view.
 type SlowNews struct {
-	// From is who was asked in the end: a peer's address, or empty for the store.
+	// From is the address of the peer that answered, or empty for the store.
 	From string
-	// Took is how long the call lasted.
+	// Took is the duration of the poll.
 	Took time.Duration
-	// Age is how old the view was when the call ended.
+	// Age is the age of the view at the end of the poll.
 	Age time.Duration
-	// Servers and Removed count the entries that came and went.
+	// Servers and Removed are the numbers of changed and removed entries.
 	Servers, Removed int
 }
 
-// Watcher follows the servers that a publisher tells of. It keeps what was
-// published, to tell changes and to pass the news on.
+// Watcher follows the servers that a source publishes. It keeps their entries, to detect changes
+// and to send the changes to other processes.
 type Watcher struct {
 	source slatewind.ServerSource
 	sink   Sink
 
+	// mu guards the fields below.
 	mu sync.Mutex
-	// revision is the store's up to which everything is known, seen when the store
-	// last said so, be it to a peer.
-	revision slatewind.Revision
-	seen     timer.Instant
-	// clock counts the time too in which the VM was suspended: a view grows old meanwhile.
+	// revision is the store's revision up to which everything is known. confirmedAt is when the
+	// store last confirmed it, to this process or to a peer.
+	revision    slatewind.Revision
+	confirmedAt timer.Instant
+	// clock includes the time for which the VM was suspended, since the view ages meanwhile.
 	clock timer.Clock
-	// reread says that the changes since revision cannot be had, so that everything is
-	// read anew.
-	reread  bool
-	servers map[string]known
-	// electorate ranks the known servers' places, nil after they changed.
-	electorate *electorate
-	// removed holds the servers that went; since complete it lacks none.
-	removed  map[string]removal
-	complete slatewind.Revision
-	eras     eras
-	// lapsed holds, of the servers, those whose entries vanished during an outage, at
-	// which revision.
-	lapsed map[string]slatewind.Revision
-	// overtaken holds, by their names, entries that stand although something newer is known.
-	overtaken map[string]overtaken
-	// lost says that the last call failed, regained when the last outage ended.
-	lost     bool
-	regained time.Time
+	// readAll reports that the changes since revision are not available, so that the next poll
+	// must read the full state.
+	readAll bool
+	servers map[string]knownServer
+	// ranking ranks the endpoints of the known servers; nil after they changed.
+	ranking *ranking
+	// tombstones holds the removed servers, complete is the revision after which none is missing.
+	tombstones map[string]tombstone
+	complete   slatewind.Revision
+	eraChange  eraChange
+	// awaitingRenewal holds the known servers whose entries were removed during or after an
+	// outage and that are in their grace period, with the revision of the removal.
+	awaitingRenewal map[string]slatewind.Revision
+	// superseded holds, by name, the superseded entries that the source still lists.
+	superseded map[string]superseded
+	// unreachable reports that the last call failed. reachableSince is when the last outage or
+	// restore of the source ended.
+	unreachable    bool
+	reachableSince time.Time
 }
 
-// NewWatcher returns a watcher that has heard nothing yet.
+// NewWatcher returns a watcher that has no data yet.
 func NewWatcher(source slatewind.ServerSource, sink Sink) *Watcher {
 	return &Watcher{
 		source: source, sink: sink,
-		servers: map[string]known{}, removed: map[string]removal{}, lapsed: map[string]slatewind.Revision{}, overtaken: map[string]overtaken{},
+		servers: map[string]knownServer{}, tombstones: map[string]tombstone{}, awaitingRenewal: map[string]slatewind.Revision{}, superseded: map[string]superseded{},
 	}
 }
 
-// Start follows the publisher until ctx ends.
+// Start polls the source until ctx ends.
 func (w *Watcher) Start(ctx context.Context) {
 	go w.loop(ctx)
 }
 
 func (w *Watcher) loop(ctx context.Context) {
-	retry := firstRetry
+	retry := minRetry
 	for ctx.Err() == nil {
-		pace, err := w.step(ctx)
+		interval, err := w.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		switch {
 		case err == nil:
-			retry = firstRetry
-			w.rest(ctx, pace)
+			retry = minRetry
+			w.rest(ctx, interval)
 		case errors.Is(err, slatewind.ErrHistoryGone):
-			w.readAnew()
+			w.requestFullRead()
 		default:
-			sleep(ctx, spread(retry))
+			sleep(ctx, jitter(retry))
 			retry = min(2*retry, maxRetry)
 		}
 	}
 }
 
-// rest pauses between two calls, and meanwhile lets servers go whose time for a
-// new entry after an outage ends.
+// rest waits between two polls. If a grace period ends meanwhile, it removes the servers whose
+// entries were not renewed.
 func (w *Watcher) rest(ctx context.Context, pause time.Duration) {
 	end := time.Now().Add(pause)
-	if wait, waiting := w.lapseEnds(); waiting && wait < pause {
+	if wait, waiting := w.graceRemaining(); waiting && wait < pause {
 		sleep(ctx, wait)
 		w.mu.Lock()
 		w.expire(time.Now())
@@ -158,16 +160,15 @@
 	sleep(ctx, time.Until(end))
 }
 
-// lapseEnds returns when entries that vanished during an outage count as gone,
-// if there are any.
-func (w *Watcher) lapseEnds() (wait time.Duration, waiting bool) {
+// graceRemaining returns the remaining grace period, and whether any server is in it.
+func (w *Watcher) graceRemaining() (wait time.Duration, waiting bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Until(w.regained.Add(lapseTime)), !w.lost && len(w.lapsed) > 0
+	return time.Until(w.reachableSince.Add(renewalGrace)), !w.unreachable && len(w.awaitingRenewal) > 0
 }
 
-// step makes one call and tells what it brought. pace is the time until the next.
-func (w *Watcher) step(ctx context.Context) (pace time.Duration, err error) {
+// poll makes one call and applies the result. It returns the time until the next one.
+func (w *Watcher) poll(ctx context.Context) (interval time.Duration, err error) {
 	after := w.after()
 	began := time.Now()
 	var p slatewind.ServerUpdate
@@ -182,28 +183,28 @@
 	defer w.expire(now)
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, slatewind.ErrHistoryGone) {
-			w.failed(now, err)
+			w.markUnreachable(now, err)
 		}
 		return 0, err
 	}
-	if took := now.Sub(began); took >= slowCall && !after.IsZero() {
-		w.sink.Slow(SlowNews{From: p.From, Took: took, Age: w.clock.Since(w.seen), Servers: len(p.Servers), Removed: len(p.Removed)})
+	if took := now.Sub(began); took >= slowPollTime && !after.IsZero() {
+		w.sink.Slow(SlowNews{From: p.From, Took: took, Age: w.clock.Since(w.confirmedAt), Servers: len(p.Servers), Removed: len(p.Removed)})
 	}
 	if p.PlatformUnreachable {
-		w.failed(now, errCut)
+		w.markUnreachable(now, errOnlyPeers)
 	} else {
-		w.reached(now)
+		w.markReachable(now)
 	}
-	w.take(now, p)
+	w.apply(now, p)
 	switch {
 	case len(w.servers) == 0:
-		return emptyPace, nil
-	case after.IsZero() && !w.reread:
-		return readPace, nil
+		return emptyPollInterval, nil
+	case after.IsZero() && !w.readAll:
+		return postReadInterval, nil
 	case p.Relayed:
-		return peerPace, nil
+		return peerPollInterval, nil
 	}
-	return storePace, nil
+	return storePollInterval, nil
 }
 
 // Revision returns the store's revision up to which everything is known.
@@ -213,40 +214,41 @@
 	return w.revision
 }
 
-// after returns the revision after which changes are asked for, zero for everything.
+// after returns the revision from which the next poll requests changes; zero requests the full
+// state.
 func (w *Watcher) after() slatewind.Revision {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.reread {
+	if w.readAll {
 		return slatewind.Revision{}
 	}
 	return w.revision
 }
 
-// errCut: others reach the store, this process does not.
-var errCut = Error.New("only other processes reach the store")
+// errOnlyPeers: peers can reach the store, this process cannot.
+var errOnlyPeers = Error.New("the store is reachable only through other processes")
 
-// readAnew makes the next call read everything.
-func (w *Watcher) readAnew() {
+// requestFullRead makes the next poll read the full state.
+func (w *Watcher) requestFullRead() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reread = true
+	w.readAll = true
 }
 
-// reached notes that the store can be reached. The lock is held.
-func (w *Watcher) reached(now time.Time) {
-	if !w.lost {
+// markReachable records that the store is reachable. w.mu is held.
+func (w *Watcher) markReachable(now time.Time) {
+	if !w.unreachable {
 		return
 	}
-	w.lost = false
-	w.regained = now
+	w.unreachable = false
+	w.reachableSince = now
 	w.sink.Reach(now, true, nil)
 }
 
-// failed notes that the store cannot be reached. The lock is held.
-func (w *Watcher) failed(now time.Time, err error) {
-	if !w.lost {
+// markUnreachable records that the store is unreachable. w.mu is held.
+func (w *Watcher) markUnreachable(now time.Time, err error) {
+	if !w.unreachable {
 		w.sink.Reach(now, false, err)
 	}
-	w.lost = true
+	w.unreachable = true
 }
--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -116,13 +116,13 @@
 	"only the first settings are taken": {
 		promise: soak.PromiseSettings,
 		part:    soak.PartCalm,
-		edits:   []overlay.Edit{{File: "discovery/feed.go", From: newerInDiscovery, To: "f.settings == nil"}},
+		edits:   []overlay.Edit{{File: "discovery/settings.go", From: newerInDiscovery, To: "w.settings == nil"}},
 	},
 	"older settings are taken": {
 		promise: soak.PromiseForward,
 		part:    soak.PartCalm,
 		edits: []overlay.Edit{
-			{File: "discovery/feed.go", From: newerInDiscovery, To: "true"},
+			{File: "discovery/settings.go", From: newerInDiscovery, To: "true"},
 			{
 				File: "config/store.go",
 				From: "	return version.Newer(current.Version) && !copied",
@@ -170,12 +170,12 @@
 	"a copy brings a leaving server back": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartRestores,
-		edits:   []overlay.Edit{{File: "discovery/known.go", From: "entry.Leaving || revision.Era > k.left.Era", To: "entry.Leaving"}},
+		edits:   []overlay.Edit{{File: "discovery/servers.go", From: "entry.Leaving || revision.Era > k.leavingSince.Era", To: "entry.Leaving"}},
 	},
 	"a copy brings a removed server back": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartRestores,
-		edits:   []overlay.Edit{{File: "discovery/known.go", From: "case p.Complete && w.broughtBack(entry, p.Revision):", To: "case false:"}},
+		edits:   []overlay.Edit{{File: "discovery/servers.go", From: "case p.Complete && w.resurrected(entry, p.Revision):", To: "case false:"}},
 	},
 	"no budget": {
 		promise: soak.PromiseBudget,
@@ -189,7 +189,7 @@
 }
 
 // newerInDiscovery is the condition under which published settings are taken.
-const newerInDiscovery = "f.settings == nil || settings.Version > f.settings.Version"
+const newerInDiscovery = "w.settings == nil || settings.Version > w.settings.Version"
 
 // brokenSeeds is how many seeds a broken build may take to be noticed: the order of
 // events is drawn, and the system's own moves in real time are not.
