--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -17,89 +17,89 @@
 	"slatewind.example/slatewind"
 )
 
-// fleet is a few watchers that share one store, with calls to it counted.
+// fleet simulates several processes that source one store, and counts the calls.
 type fleet struct {
-	mu       sync.Mutex
-	watchers map[string]*Watcher
-	sinks    map[string]*heardBy
-	shares   map[string]*Share
-	feeds    map[string]*Feed
-	// cut processes do not reach the store, frozen ones do not answer. Answers of
-	// the store stay with a process for the time that held names.
-	cut, frozen map[string]bool
-	// mute says that processes are silent when they are asked for settings.
-	mute bool
-	held map[string]time.Duration
-	// busy is how long every process takes to answer another.
-	busy time.Duration
-	// forgets names processes whose next question finds the history gone.
-	forgets map[string]bool
-	// choices holds the patterns by which processes choose whom to ask; one without a
-	// pattern takes a number from random.
+	mu               sync.Mutex
+	watchers         map[string]*Watcher
+	sinks            map[string]*recordingSink
+	sources          map[string]*Share
+	settingsWatchers map[string]*Feed
+	// The store cannot be reached by unreachable processes, and frozen processes do not answer.
+	// storeDelay is the time by which the store's answers to a process are delayed.
+	unreachable, frozen map[string]bool
+	// silent processes do not answer requests for settings.
+	silent     bool
+	storeDelay map[string]time.Duration
+	// answerDelay is the time that each process takes to answer another.
+	answerDelay time.Duration
+	// historyGone holds the processes whose next poll fails with ErrHistoryGone.
+	historyGone map[string]bool
+	// choices holds the bit patterns by which processes choose whom to query; a process without a
+	// pattern uses random.
 	choices map[string]int
 	random  *rand.Rand
-	// lines carry what each process receives and sends; without any, bytes take no
+	// incoming and outgoing are the links of the processes. Without a link, transfers take no
 	// time.
-	incoming, outgoing map[string]*line
+	incoming, outgoing map[string]*link
 	settings           *slatewind.PublishedSettings
-	// handOvers counts the settings that each process is handing over.
-	handOvers map[string]int
+	// transfers counts the settings that each process is currently sending.
+	transfers map[string]int
 	calls     map[string]int
-	// exchanged counts how often each process was asked for reports by another reader.
-	exchanged map[string]int
+	// exchanges counts how often other readers exchanged reports with each process.
+	exchanges map[string]int
 	pings     int
-	// settingsCalls counts the calls for settings.
+	// settingsCalls counts the polls for settings.
 	settingsCalls int
 	published     slatewind.ServerUpdate
 }
 
-// storeOf is the store as one process reaches it.
-type storeOf struct {
+// fleetStore is the store as seen by one process.
+type fleetStore struct {
 	f    *fleet
 	self string
 }
 
-func (s storeOf) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
+func (s fleetStore) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	return s.Changes(ctx, slatewind.Revision{})
 }
 
-func (s storeOf) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
+func (s fleetStore) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	s.f.mu.Lock()
 	s.f.calls[s.self]++
-	cut, p, held := s.f.cut[s.self], s.f.published, s.f.held[s.self]
+	unreachable, p, delay := s.f.unreachable[s.self], s.f.published, s.f.storeDelay[s.self]
 	incoming := s.f.incoming[s.self]
-	forgets := s.f.forgets[s.self] && !after.IsZero()
-	if forgets {
-		delete(s.f.forgets, s.self)
+	historyGone := s.f.historyGone[s.self] && !after.IsZero()
+	if historyGone {
+		delete(s.f.historyGone, s.self)
 	}
 	s.f.mu.Unlock()
-	if forgets {
+	if historyGone {
 		return slatewind.ServerUpdate{}, slatewind.ErrHistoryGone
 	}
-	if cut {
+	if unreachable {
 		sleep(ctx, time.Second)
-		return slatewind.ServerUpdate{}, errors.New("cut off")
+		return slatewind.ServerUpdate{}, errors.New("unreachable")
 	}
 	p.Complete = true
-	sleep(ctx, held)
-	return p, incoming.carry(ctx, changedBytes)
+	sleep(ctx, delay)
+	return p, incoming.transfer(ctx, changedBytes)
 }
 
-func (s storeOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
-	const look = 10 * time.Millisecond
+func (s fleetStore) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
+	const pollInterval = 10 * time.Millisecond
 	s.f.mu.Lock()
 	s.f.settingsCalls++
 	s.f.mu.Unlock()
-	for end := time.Now().Add(wait); ; sleep(ctx, look) {
+	for end := time.Now().Add(wait); ; sleep(ctx, pollInterval) {
 		s.f.mu.Lock()
-		cut, settings, incoming := s.f.cut[s.self], s.f.settings, s.f.incoming[s.self]
+		unreachable, settings, incoming := s.f.unreachable[s.self], s.f.settings, s.f.incoming[s.self]
 		s.f.mu.Unlock()
 		switch {
-		case cut:
+		case unreachable:
 			sleep(ctx, time.Second)
-			return slatewind.SettingsUpdate{}, errors.New("cut off")
+			return slatewind.SettingsUpdate{}, errors.New("unreachable")
 		case settings != nil && settings.Revision.After(after):
-			err := incoming.carry(ctx, routeBytes*len(settings.Fleet.GetRoutes()))
+			err := incoming.transfer(ctx, routeBytes*len(settings.Fleet.GetRoutes()))
 			return slatewind.SettingsUpdate{Settings: settings, Revision: settings.Revision}, err
 		case ctx.Err() != nil || !time.Now().Before(end):
 			return slatewind.SettingsUpdate{}, ctx.Err()
@@ -107,12 +107,12 @@
 	}
 }
 
-func (s storeOf) Ping(context.Context) error {
+func (s fleetStore) Ping(context.Context) error {
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	s.f.pings++
-	if s.f.cut[s.self] {
-		return errors.New("cut off")
+	if s.f.unreachable[s.self] {
+		return errors.New("unreachable")
 	}
 	return nil
 }
@@ -121,74 +121,75 @@
 func (f *fleet) Exchange(_ context.Context, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.exchanged[address]++
+	f.exchanges[address]++
 }
 
 // Since implements Peers.
 func (f *fleet) Since(ctx context.Context, address string, after slatewind.Revision, version uint64) (slatewind.ServerUpdate, error) {
 	f.mu.Lock()
-	watcher, feed, outgoing := f.watchers[address], f.feeds[address], f.outgoing[address]
-	frozen, busy := f.frozen[address], f.busy
+	watcher, settingsWatcher, outgoing := f.watchers[address], f.settingsWatchers[address], f.outgoing[address]
+	frozen, delay := f.frozen[address], f.answerDelay
 	f.mu.Unlock()
-	sleep(ctx, busy)
+	sleep(ctx, delay)
 	if frozen || watcher == nil {
 		<-ctx.Done()
 		return slatewind.ServerUpdate{}, ctx.Err()
 	}
-	feed.Heard(version, "")
+	settingsWatcher.Heard(version, "")
 	p := watcher.Since(after)
-	p.Version = feed.Version()
-	return p, outgoing.carry(ctx, entryBytes)
+	p.Version = settingsWatcher.Version()
+	return p, outgoing.transfer(ctx, entryBytes)
 }
 
 // Settings implements SettingsPeers.
 func (f *fleet) Settings(ctx context.Context, address string, version uint64) (*slatewind.PublishedSettings, error) {
 	f.mu.Lock()
-	feed, outgoing, silent := f.feeds[address], f.outgoing[address], f.frozen[address] || f.mute
+	settingsWatcher, outgoing, silent := f.settingsWatchers[address], f.outgoing[address], f.frozen[address] || f.silent
 	f.mu.Unlock()
-	if silent || feed == nil {
+	if silent || settingsWatcher == nil {
 		sleep(ctx, time.Second)
 		return nil, errors.New("silent")
 	}
-	settings := feed.Newest()
-	if settings == nil || settings.Version <= version || !f.handOver(address, 1) {
+	settings := settingsWatcher.Newest()
+	if settings == nil || settings.Version <= version || !f.addTransfer(address, 1) {
 		return nil, nil
 	}
-	defer f.handOver(address, -1)
-	return settings, outgoing.carry(ctx, packedRouteBytes*len(settings.Fleet.GetRoutes()))
+	defer f.addTransfer(address, -1)
+	return settings, outgoing.transfer(ctx, packedRouteBytes*len(settings.Fleet.GetRoutes()))
 }
 
-// handOver counts settings on their way; it reports false where there are enough.
-func (f *fleet) handOver(address string, n int) bool {
-	const enough = 3
+// addTransfer changes the number of current transfers by n; it reports false if there are too
+// many.
+func (f *fleet) addTransfer(address string, n int) bool {
+	const maxTransfers = 3
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.handOvers[address]+n > enough {
+	if f.transfers[address]+n > maxTransfers {
 		return false
 	}
-	f.handOvers[address] += n
+	f.transfers[address] += n
 	return true
 }
 
 func newFleet(ctx context.Context, n int) *fleet {
 	f := &fleet{
-		watchers: map[string]*Watcher{}, sinks: map[string]*heardBy{}, shares: map[string]*Share{}, cut: map[string]bool{}, frozen: map[string]bool{},
-		held: map[string]time.Duration{}, feeds: map[string]*Feed{}, handOvers: map[string]int{}, forgets: map[string]bool{}, choices: map[string]int{}, random: rand.New(rand.NewPCG(1, 2)), incoming: map[string]*line{}, outgoing: map[string]*line{},
-		calls: map[string]int{}, exchanged: map[string]int{}, published: slatewind.ServerUpdate{Revision: at(1)},
+		watchers: map[string]*Watcher{}, sinks: map[string]*recordingSink{}, sources: map[string]*Share{}, unreachable: map[string]bool{}, frozen: map[string]bool{},
+		storeDelay: map[string]time.Duration{}, settingsWatchers: map[string]*Feed{}, transfers: map[string]int{}, historyGone: map[string]bool{}, choices: map[string]int{}, random: rand.New(rand.NewPCG(1, 2)), incoming: map[string]*link{}, outgoing: map[string]*link{},
+		calls: map[string]int{}, exchanges: map[string]int{}, published: slatewind.ServerUpdate{Revision: at(1)},
 	}
 	for i := range n {
 		f.published.Servers = append(f.published.Servers, servers(fmt.Sprint("server-", i))...)
 	}
 	for _, entry := range f.published.Servers {
 		f.start(ctx, entry.Address, nil)
-		// Processes start at different moments, so that their rounds do too.
+		// Processes start at different times, so that their polls are not synchronous.
 		sleep(ctx, 29*time.Millisecond)
 	}
 	return f
 }
 
-// inFleet has a test use a fleet of so many processes in virtual time, and ends these.
-func inFleet(t *testing.T, processes int, test func(t *testing.T, ctx context.Context, f *fleet)) {
+// runFleet runs a test with a fleet of the given size in virtual time and stops the fleet.
+func runFleet(t *testing.T, processes int, test func(t *testing.T, ctx context.Context, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -201,39 +202,39 @@
 func (f *fleet) start(ctx context.Context, self string, seeds []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	share := NewShare(storeOf{f, self}, f, self, seeds)
-	share.intN = func(n int) int { return f.draw(self, n) }
-	f.shares[self] = share
-	f.sinks[self] = newHeardBy()
-	f.watchers[self] = NewWatcher(share, f.sinks[self])
-	f.feeds[self] = NewFeed(storeOf{f, self}, f, share, f.sinks[self])
-	share.Follow(f.watchers[self], f.feeds[self], "")
+	source := NewShare(fleetStore{f, self}, f, self, seeds)
+	source.intN = func(n int) int { return f.choose(self, n) }
+	f.sources[self] = source
+	f.sinks[self] = newRecordingSink()
+	f.watchers[self] = NewWatcher(source, f.sinks[self])
+	f.settingsWatchers[self] = NewFeed(fleetStore{f, self}, f, source, f.sinks[self])
+	source.Follow(f.watchers[self], f.settingsWatchers[self], "")
 	f.watchers[self].Start(ctx)
-	f.feeds[self].Start(ctx)
+	f.settingsWatchers[self].Start(ctx)
 }
 
-// settle lets time pass until all is quiet.
-func settle(d time.Duration) {
+// advance lets time pass until all goroutines are blocked.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// cutOff takes a process's way to the store away, or gives it back.
-func (f *fleet) cutOff(name string, cut bool) {
+// setUnreachable makes the store unreachable or reachable for a process.
+func (f *fleet) setUnreachable(name string, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[name] = cut
+	f.unreachable[name] = unreachable
 }
 
-// forgetCalls begins the counts of calls anew.
-func (f *fleet) forgetCalls() {
+// resetCalls resets the numbers of calls.
+func (f *fleet) resetCalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.calls)
 }
 
-// called returns the processes that called the store since the counts began.
-func (f *fleet) called() []string {
+// callers returns the processes that called the store since the last reset.
+func (f *fleet) callers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.calls))
@@ -246,7 +247,7 @@
 	f.published = p
 }
 
-// publishVersion publishes a version of the settings.
+// publishVersion publishes settings with a version.
 func (f *fleet) publishVersion(version uint64) {
 	f.publishSettings(&slatewind.PublishedSettings{Version: version})
 }
@@ -259,17 +260,17 @@
 	f.settings = settings
 }
 
-// allHeard checks that every process has heard of just one version.
-func (f *fleet) allHeard(t *testing.T, version uint64) {
+// checkVersion checks that every process received exactly one version.
+func (f *fleet) checkVersion(t *testing.T, version uint64) {
 	t.Helper()
 	for name, sink := range f.sinks {
 		assert.Check(t, slices.Equal(sink.versions, []uint64{version}), "%s: %v", name, sink.versions)
 	}
 }
 
-// follower returns a process that does not read the store.
-func (f *fleet) follower() string {
-	readers := f.called()
+// nonReader returns a process that does not read the store.
+func (f *fleet) nonReader() string {
+	readers := f.callers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range f.watchers {
@@ -280,22 +281,22 @@
 	return ""
 }
 
-// allCutOff takes every process's way to the store away, or gives it back.
-func (f *fleet) allCutOff(cut bool) {
+// setAllUnreachable makes the store unreachable or reachable for all processes.
+func (f *fleet) setAllUnreachable(unreachable bool) {
 	for name := range f.watchers {
-		f.cutOff(name, cut)
+		f.setUnreachable(name, unreachable)
 	}
 }
 
-// countAnew begins the counts of calls and pings anew.
-func (f *fleet) countAnew() {
-	f.forgetCalls()
+// resetCounts resets the numbers of calls and pings.
+func (f *fleet) resetCounts() {
+	f.resetCalls()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pings = 0
 }
 
-// counts returns how many calls and pings the store got.
+// counts returns the numbers of calls and pings of the store.
 func (f *fleet) counts() (calls, pings int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/discovery/restore_test.go
+++ b/discovery/restore_test.go
@@ -12,75 +12,77 @@
 	"slatewind.example/slatewind"
 )
 
-// Servers of the model: one leaves and goes, the other starts.
+// Servers of the model: the leaver reports to be leaving and is removed, the starter starts.
 const (
 	leaver  = "leaver"
 	starter = "starter"
 )
 
-// otherChanges is how many changes to other things a restored store lacks.
+// otherChanges is the number of changes to other data that a restored store lacks.
 const otherChanges = 10
 
 // move is one event of the model.
 type move string
 
 const (
-	// moveSay: the leaver says that it leaves. moveEnd: its entry goes.
-	moveSay move = "say"
-	moveEnd move = "end"
-	// moveStart: the starter writes its first entry. moveCrash: it ends without a word.
+	// moveLeave: the leaver reports to be leaving. moveEnd: its entry is removed.
+	moveLeave move = "leave"
+	moveEnd   move = "end"
+	// moveStart: the starter writes its first entry. moveCrash: it ends without a report.
 	moveStart move = "start"
 	moveCrash move = "crash"
-	// moveCopy takes a copy of the store, moveRestore brings it back. moveAgain has the servers
-	// write their entries again.
-	moveCopy    move = "copy"
+	// moveBackup takes a backup of the store, moveRestore restores it. moveRenew makes the
+	// servers write their entries again.
+	moveBackup  move = "backup"
 	moveRestore move = "restore"
-	moveAgain   move = "again"
-	// moveRead has the reader read the store, moveAsk the other process ask the reader.
-	moveRead move = "read"
-	moveAsk  move = "ask"
-	// moveLook has the other process read the store itself, moveBegin has it start anew.
-	moveLook  move = "look"
-	moveBegin move = "begin"
+	moveRenew   move = "renew"
+	// moveRead makes the reader read the store, moveQuery makes the other process query the
+	// reader.
+	moveRead  move = "read"
+	moveQuery move = "query"
+	// moveReadStore makes the other process read the store itself, moveRestart restarts it.
+	moveReadStore move = "read-store"
+	moveRestart   move = "restart"
 )
 
-var moves = []move{moveSay, moveEnd, moveStart, moveCrash, moveCopy, moveRestore, moveAgain, moveRead, moveAsk, moveLook, moveBegin}
+var moves = []move{moveLeave, moveEnd, moveStart, moveCrash, moveBackup, moveRestore, moveRenew, moveRead, moveQuery, moveReadStore, moveRestart}
 
-// modelEntry is what a store holds of a server.
+// modelEntry is a server's entry in the store.
 type modelEntry struct {
 	slatewind.ServerEntry
 	written uint64
 }
 
-// telling is how a store tells that it was restored.
-type telling string
+// restoreSignal is how a store indicates that it was restored.
+type restoreSignal string
 
 const (
-	// tellsEra is what a store does: it states its era.
-	tellsEra telling = "era"
-	// tellsGone says only that it does not have a revision, tellsNothing not even that.
-	tellsGone    telling = "gone"
-	tellsNothing telling = "nothing"
+	// signalEra is how stores behave: they state their era.
+	signalEra restoreSignal = "era"
+	// signalGone reports only that a revision is not available, signalNone not even that.
+	signalGone restoreSignal = "gone"
+	signalNone restoreSignal = "none"
 )
 
-// variant is what a model is like.
+// variant configures a model.
 type variant struct {
-	telling telling
-	// compacts says that a restored store has no history.
-	compacts bool
-	// dropsLower says that the other process drops news with a lower number than its own.
+	restoreSignal restoreSignal
+	// losesHistory reports that a restored store has no history.
+	losesHistory bool
+	// dropsLower reports that the other process ignores updates whose number is lower than its
+	// own.
 	dropsLower bool
 }
 
-// modelStore is a store of which copies can be taken.
+// modelStore is a store of which backups can be taken.
 type modelStore struct {
-	telling  telling
-	revision slatewind.Revision
-	entries  map[string]modelEntry
-	// removed holds the revisions at which entries went, forgotten is that up to which the
-	// history is lost.
+	restoreSignal restoreSignal
+	revision      slatewind.Revision
+	entries       map[string]modelEntry
+	// removed holds the revisions at which entries were removed. The history before compacted is
+	// lost.
 	removed   map[string]uint64
-	forgotten uint64
+	compacted uint64
 }
 
 func (s modelStore) clone() modelStore {
@@ -88,7 +90,7 @@
 	return s
 }
 
-// write writes an entry, or removes it.
+// write writes an entry, or removes it if entry is nil.
 func (s *modelStore) write(name string, entry *slatewind.ServerEntry) {
 	s.revision.Number++
 	if entry == nil {
@@ -105,72 +107,73 @@
 	s.entries[name] = e
 }
 
-// read answers a process that knows the store until a revision: with what changed since, or
-// with everything.
+// read answers a process that knows the store up to a revision: with the changes since, or with
+// the full state.
 func (s *modelStore) read(after slatewind.Revision) slatewind.ServerUpdate {
-	gone := s.telling != tellsNothing && (after.Number > s.revision.Number || after.Number < s.forgotten)
-	whole := after.IsZero() || after.Era != s.revision.Era || gone
-	p := slatewind.ServerUpdate{Revision: s.revision, Complete: whole}
+	gone := s.restoreSignal != signalNone && (after.Number > s.revision.Number || after.Number < s.compacted)
+	full := after.IsZero() || after.Era != s.revision.Era || gone
+	p := slatewind.ServerUpdate{Revision: s.revision, Complete: full}
 	for _, name := range slices.Sorted(maps.Keys(s.entries)) {
-		if e := s.entries[name]; whole || e.written > after.Number {
+		if e := s.entries[name]; full || e.written > after.Number {
 			p.Servers = append(p.Servers, e.ServerEntry)
 		}
 	}
 	for name, at := range s.removed {
-		if !whole && at > after.Number {
+		if !full && at > after.Number {
 			p.Removed = append(p.Removed, name)
 		}
 	}
 	return p
 }
 
-// modelProcess is a process with what it believes of the servers.
+// modelProcess is a process and its view of the servers.
 type modelProcess struct {
-	*heardBy
+	*recordingSink
 	*Watcher
-	believed map[string]slatewind.ServerEntry
-	// left says that it knew once that the leaver leaves or is gone, lost that the starter went.
-	left, lost bool
-	broken     string
+	entries map[string]slatewind.ServerEntry
+	// sawLeaving reports that it knew once that the leaver is leaving or was removed, lostStarter
+	// that it removed the starter.
+	sawLeaving, lostStarter bool
+	violation               string
 }
 
 func newModelProcess() *modelProcess {
-	p := &modelProcess{heardBy: newHeardBy(), believed: map[string]slatewind.ServerEntry{}}
+	p := &modelProcess{recordingSink: newRecordingSink(), entries: map[string]slatewind.ServerEntry{}}
 	p.Watcher = NewWatcher(nil, p)
 	return p
 }
 
 func (p *modelProcess) Server(_ time.Time, e slatewind.ServerEntry) {
-	p.believed[e.Name] = e
+	p.entries[e.Name] = e
 	if e.Name != leaver {
 		return
 	}
-	if p.left && !e.Leaving {
-		p.broken = "a server that leaves came back as staying"
+	if p.sawLeaving && !e.Leaving {
+		p.violation = "a leaving server came back as not leaving"
 	}
-	p.left = p.left || e.Leaving
+	p.sawLeaving = p.sawLeaving || e.Leaving
 }
 
 func (p *modelProcess) ServerGone(_ time.Time, name string) {
-	delete(p.believed, name)
-	p.left = p.left || name == leaver
-	p.lost = p.lost || name == starter
+	delete(p.entries, name)
+	p.sawLeaving = p.sawLeaving || name == leaver
+	p.lostStarter = p.lostStarter || name == starter
 }
 
-// model is a store, its copy and two processes, one of which reads for both.
+// model is a store, its backup and two processes, one of which reads the store for both.
 type model struct {
-	now         time.Time
-	store       modelStore
-	taken       *modelStore
-	restored    bool
-	leaving     bool
-	ended       bool
-	started     bool
-	crashed     bool
-	reader      *modelProcess
-	other       *modelProcess
-	variant     variant
-	lastOfReads move
+	now      time.Time
+	store    modelStore
+	backup   *modelStore
+	restored bool
+	leaving  bool
+	ended    bool
+	started  bool
+	crashed  bool
+	reader   *modelProcess
+	other    *modelProcess
+	variant  variant
+	lastMove move
 }
 
 func entryOf(name string, leaving bool) *slatewind.ServerEntry {
@@ -180,19 +183,19 @@
 // newModel returns a model in which both processes know the leaver.
 func newModel(v variant) *model {
 	m := &model{
-		now: time.Unix(1000, 0), store: modelStore{telling: v.telling, entries: map[string]modelEntry{}, removed: map[string]uint64{}},
+		now: time.Unix(1000, 0), store: modelStore{restoreSignal: v.restoreSignal, entries: map[string]modelEntry{}, removed: map[string]uint64{}},
 		reader: newModelProcess(), other: newModelProcess(), variant: v,
 	}
 	m.store.write(leaver, entryOf(leaver, false))
-	m.play(moveRead)
-	m.play(moveAsk)
+	m.run(moveRead)
+	m.run(moveQuery)
 	return m
 }
 
-// may reports whether an event can happen now and can make a difference.
-func (m *model) may(e move) bool {
+// enabled reports whether an event can happen now and can make a difference.
+func (m *model) enabled(e move) bool {
 	switch e {
-	case moveSay:
+	case moveLeave:
 		return !m.leaving
 	case moveEnd:
 		return m.leaving && !m.ended && m.store.entries[leaver].Leaving
@@ -200,20 +203,20 @@
 		return !m.started
 	case moveCrash:
 		return m.started && !m.crashed
-	case moveCopy:
-		return m.taken == nil
+	case moveBackup:
+		return m.backup == nil
 	case moveRestore:
-		return m.taken != nil && !m.restored
-	case moveAgain:
-		return m.restored && m.lastOfReads != moveAgain
+		return m.backup != nil && !m.restored
+	case moveRenew:
+		return m.restored && m.lastMove != moveRenew
 	}
-	return m.lastOfReads != e
+	return m.lastMove != e
 }
 
-// play plays one event.
-func (m *model) play(e move) {
+// run runs one event.
+func (m *model) run(e move) {
 	switch e {
-	case moveSay:
+	case moveLeave:
 		m.leaving = true
 		m.store.write(leaver, entryOf(leaver, true))
 	case moveEnd:
@@ -224,58 +227,58 @@
 		m.store.write(starter, entryOf(starter, false))
 	case moveCrash:
 		m.crashed = true
-	case moveCopy:
-		taken := m.store.clone()
-		m.taken = &taken
+	case moveBackup:
+		backup := m.store.clone()
+		m.backup = &backup
 		m.store.revision.Number += otherChanges
 	case moveRestore:
 		m.restore()
-	case moveAgain:
-		m.writeAgain()
+	case moveRenew:
+		m.renewAll()
 	case moveRead:
 		m.reader.apply(m.now, m.store.read(m.reader.after()))
-	case moveAsk:
-		m.ask()
-	case moveLook:
+	case moveQuery:
+		m.query()
+	case moveReadStore:
 		m.other.apply(m.now, m.store.read(m.other.after()))
-	case moveBegin:
+	case moveRestart:
 		m.other = newModelProcess()
-		m.play(moveLook)
+		m.run(moveReadStore)
 	}
-	m.lastOfReads = e
+	m.lastMove = e
 }
 
 func (m *model) restore() {
 	m.restored = true
-	m.store = m.taken.clone()
-	if m.store.telling == tellsEra {
+	m.store = m.backup.clone()
+	if m.store.restoreSignal == signalEra {
 		m.store.revision.Era++
 	}
-	if m.variant.compacts {
-		m.store.forgotten = m.store.revision.Number
+	if m.variant.losesHistory {
+		m.store.compacted = m.store.revision.Number
 	}
 }
 
-// writeAgain has servers that live write their entries, and what nobody renews run out.
-func (m *model) writeAgain() {
+// renewAll makes running servers write their entries, and entries that are not renewed expire.
+func (m *model) renewAll() {
 	m.renew(entryOf(leaver, m.leaving), !m.ended)
 	if m.started {
 		m.renew(entryOf(starter, false), !m.crashed)
 	}
 }
 
-// renew writes the entry of a server that lives, and lets that of another one run out.
-func (m *model) renew(entry *slatewind.ServerEntry, lives bool) {
+// renew writes the entry of a running server; the entry of another one expires.
+func (m *model) renew(entry *slatewind.ServerEntry, running bool) {
 	_, stands := m.store.entries[entry.Name]
 	switch {
-	case lives:
+	case running:
 		m.store.write(entry.Name, entry)
 	case stands:
 		m.store.write(entry.Name, nil)
 	}
 }
 
-func (m *model) ask() {
+func (m *model) query() {
 	p := m.reader.Since(m.other.after())
 	p.Relayed = true
 	if m.variant.dropsLower && p.Revision.Number < m.other.Revision().Number {
@@ -284,14 +287,14 @@
 	m.other.apply(m.now, p)
 }
 
-// settle lets all be written and heard that is to be, and time pass.
+// settle distributes all pending changes and lets time pass.
 func (m *model) settle() {
 	if m.restored || m.crashed {
-		m.writeAgain()
+		m.renewAll()
 	}
 	for range 2 {
-		m.play(moveRead)
-		m.play(moveAsk)
+		m.run(moveRead)
+		m.run(moveQuery)
 		m.now = m.now.Add(2 * renewalGrace)
 		for _, p := range []*modelProcess{m.reader, m.other} {
 			p.expire(m.now)
@@ -299,110 +302,115 @@
 	}
 }
 
-// checkSettled returns what is wrong once all is heard.
+// checkSettled returns what is wrong with a process after all changes were distributed.
 func (m *model) checkSettled(p *modelProcess) string {
-	leaver, listed := p.believed[leaver]
-	_, startedListed := p.believed[starter]
+	leaver, listed := p.entries[leaver]
+	_, startedListed := p.entries[starter]
 	switch {
 	case listed == m.ended:
 		return fmt.Sprintf("the leaver is listed: %t, ended: %t", listed, m.ended)
 	case listed && leaver.Leaving != m.leaving:
-		return fmt.Sprintf("the leaver is believed to leave: %t, not: %t", leaver.Leaving, m.leaving)
+		return fmt.Sprintf("the leaver is known as leaving: %t, expected: %t", leaver.Leaving, m.leaving)
 	case startedListed != (m.started && !m.crashed):
 		return fmt.Sprintf("the starter is listed: %t, started: %t, crashed: %t", startedListed, m.started, m.crashed)
 	}
 	return ""
 }
 
-// playAll plays events from the start.
-func playAll(v variant, events []move) *model {
+// runAll runs events on a new model.
+func runAll(v variant, events []move) *model {
 	m := newModel(v)
 	for _, e := range events {
-		m.play(e)
+		m.run(e)
 	}
 	return m
 }
 
-// possible returns the events that may follow.
-func (m *model) possible() []move {
-	return slices.DeleteFunc(slices.Clone(moves), func(e move) bool { return !m.may(e) })
+// enabledMoves returns the events that may follow.
+func (m *model) enabledMoves() []move {
+	return slices.DeleteFunc(slices.Clone(moves), func(e move) bool { return !m.enabled(e) })
 }
 
-// verdict returns what is wrong, or nothing. It has the model settle.
-func (m *model) verdict() string {
+// check settles the model and returns what is wrong, or an empty string.
+func (m *model) check() string {
 	for _, p := range []*modelProcess{m.reader, m.other} {
 		switch {
-		case p.broken != "":
-			return p.broken
-		case p.lost && !m.crashed:
-			return "a server that lives was taken for gone"
+		case p.violation != "":
+			return p.violation
+		case p.lostStarter && !m.crashed:
+			return "a running server was removed"
 		}
 	}
 	m.settle()
 	for name, p := range map[string]*modelProcess{"reader": m.reader, "other": m.other} {
-		if wrong := m.checkSettled(p); wrong != "" {
-			return name + ", settled: " + wrong
+		if failure := m.checkSettled(p); failure != "" {
+			return name + ", settled: " + failure
 		}
 	}
 	return ""
 }
 
-// explore plays all orders of so many events and returns the first that goes wrong, and how.
-func explore(v variant, events []move, length int) (wrong string, orders int) {
-	m := playAll(v, events)
-	next := m.possible()
-	if wrong := m.verdict(); wrong != "" {
-		return fmt.Sprintf("%v: %s", events, wrong), 1
+// explore runs all sequences of up to length events and returns the first failure and the number
+// of sequences.
+func explore(v variant, events []move, length int) (failure string, sequences int) {
+	m := runAll(v, events)
+	next := m.enabledMoves()
+	if failure := m.check(); failure != "" {
+		return fmt.Sprintf("%v: %s", events, failure), 1
 	}
-	orders = 1
+	sequences = 1
 	if len(events) == length {
-		return "", orders
+		return "", sequences
 	}
 	for _, e := range next {
-		wrong, more := explore(v, append(slices.Clone(events), e), length)
-		orders += more
-		if wrong != "" {
-			return wrong, orders
+		failure, more := explore(v, append(slices.Clone(events), e), length)
+		sequences += more
+		if failure != "" {
+			return failure, sequences
 		}
 	}
-	return "", orders
+	return "", sequences
 }
 
-// TestRestoresInEveryOrder: in no order of words, copies, restores, reads and starts does a server that leaves come back, and all processes agree in the end.
+// TestRestoresInEveryOrder checks that a server that is leaving never comes back and that all
+// processes agree in the end, for all sequences of reports, backups, restores, reads and starts.
 func TestRestoresInEveryOrder(t *testing.T) {
-	for _, compacts := range []bool{false, true} {
-		wrong, orders := explore(variant{telling: tellsEra, compacts: compacts}, nil, 6)
-		assert.Equal(t, wrong, "", "history lost: %t", compacts)
-		t.Logf("%d orders, history lost: %t", orders, compacts)
+	for _, losesHistory := range []bool{false, true} {
+		failure, sequences := explore(variant{restoreSignal: signalEra, losesHistory: losesHistory}, nil, 6)
+		assert.Equal(t, failure, "", "history lost: %t", losesHistory)
+		t.Logf("%d sequences, history lost: %t", sequences, losesHistory)
 	}
 }
 
-// TestRestoresUntold: the exploration finds what goes wrong where a restore is told by a lost revision alone, or not at all, and where news with a lower number are dropped.
-func TestRestoresUntold(t *testing.T) {
-	for _, v := range []variant{{telling: tellsGone}, {telling: tellsNothing}, {telling: tellsEra, dropsLower: true}} {
-		wrong, _ := explore(v, nil, 6)
-		assert.Assert(t, wrong != "", v)
-		t.Log(v, wrong)
+// TestUnsignalledRestores checks that the exploration finds the failures that occur if a restore
+// is indicated by a missing revision alone or not at all, and if updates with a lower number are
+// ignored.
+func TestUnsignalledRestores(t *testing.T) {
+	for _, v := range []variant{{restoreSignal: signalGone}, {restoreSignal: signalNone}, {restoreSignal: signalEra, dropsLower: true}} {
+		failure, _ := explore(v, nil, 6)
+		assert.Assert(t, failure != "", v)
+		t.Log(v, failure)
 	}
 }
 
-// TestRestoreTellsOnlyChanges: after a restore a process that knew what the reader knew is told only of what the copy has otherwise.
-func TestRestoreTellsOnlyChanges(t *testing.T) {
-	const many = 1000
+// TestRestoreSendsOnlyChanges checks that, after a restore, a process that knew as much as the
+// reader gets only what differs in the backup.
+func TestRestoreSendsOnlyChanges(t *testing.T) {
+	const count = 1000
 	now := time.Unix(1000, 0)
-	names := make([]string, many)
+	names := make([]string, count)
 	for i := range names {
 		names[i] = fmt.Sprint("server-", i)
 	}
-	reader, other := NewWatcher(nil, newHeardBy()), NewWatcher(nil, newHeardBy())
-	reader.apply(now, all(50, names...).ServerUpdate)
+	reader, other := NewWatcher(nil, newRecordingSink()), NewWatcher(nil, newRecordingSink())
+	reader.apply(now, complete(50, names...).ServerUpdate)
 	relayed := reader.Since(other.Revision())
 	relayed.Relayed = true
 	other.apply(now, relayed)
-	taken := slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 40}, Complete: true, Servers: servers(names[1:]...)}
-	reader.apply(now, taken)
-	news := reader.Since(other.Revision())
-	assert.Equal(t, len(news.Servers), 0)
-	assert.DeepEqual(t, news.Removed, names[:1])
-	assert.Assert(t, reader.Since(at(51)).Complete, "who knows more of the older era is told everything")
+	backup := slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 40}, Complete: true, Servers: servers(names[1:]...)}
+	reader.apply(now, backup)
+	update := reader.Since(other.Revision())
+	assert.Equal(t, len(update.Servers), 0)
+	assert.DeepEqual(t, update.Removed, names[:1])
+	assert.Assert(t, reader.Since(at(51)).Complete, "a process that knows more of the older era gets the full state")
 }
--- a/discovery/settings_test.go
+++ b/discovery/settings_test.go
@@ -13,24 +13,24 @@
 	"slatewind.example/slatewind"
 )
 
-// silentStore is a store that answers nothing until it is back: each call ends
-// with its own time.
+// silentStore is a store that does not answer until the time back: each call fails after its own
+// timeout.
 type silentStore struct {
 	mu       sync.Mutex
 	back     time.Time
 	revision uint64
 }
 
-// silence has the store answer nothing for a while, and then a newer version.
-func (s *silentStore) silence(d time.Duration) {
+// startOutage makes the store silent for d. After that it has a newer version.
+func (s *silentStore) startOutage(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.back = time.Now().Add(d)
 	s.revision++
 }
 
-// answered waits as a call does and returns the store's revision.
-func (s *silentStore) answered(ctx context.Context, wait time.Duration) (uint64, error) {
+// answer waits as a call does and returns the store's revision.
+func (s *silentStore) answer(ctx context.Context, wait time.Duration) (uint64, error) {
 	s.mu.Lock()
 	silent, revision := time.Now().Before(s.back), s.revision
 	s.mu.Unlock()
@@ -46,17 +46,17 @@
 }
 
 func (s *silentStore) Changes(ctx context.Context, _ slatewind.Revision) (slatewind.ServerUpdate, error) {
-	revision, err := s.answered(ctx, 0)
+	revision, err := s.answer(ctx, 0)
 	return slatewind.ServerUpdate{Revision: at(revision), Servers: servers("own")}, err
 }
 
 func (s *silentStore) Ping(ctx context.Context) error {
-	_, err := s.answered(ctx, 0)
+	_, err := s.answer(ctx, 0)
 	return err
 }
 
 func (s *silentStore) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
-	revision, err := s.answered(ctx, wait)
+	revision, err := s.answer(ctx, wait)
 	if err != nil || revision <= after.Number {
 		sleep(ctx, wait)
 		return slatewind.SettingsUpdate{}, err
@@ -64,84 +64,85 @@
 	return slatewind.SettingsUpdate{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: revision, Revision: at(revision)}}, nil
 }
 
-// storeTimeout is that of package platform's calls.
+// storeTimeout is the timeout of the calls of package platform.
 const storeTimeout = 900 * time.Millisecond
 
-// TestSilence: a process hears of settings within 2.5 s after a silent store is
-// back: the last silent call and the pause after it must not add up to more.
-func TestSilence(t *testing.T) {
+// TestSilentStore checks that a process receives settings within 2.5 s after a silent store
+// answers again: the last call that timed out and the backoff after it must not add up to more.
+func TestSilentStore(t *testing.T) {
 	for i := range 50 {
 		synctest.Test(t, func(t *testing.T) {
 			source := &silentStore{revision: 1}
-			heard := newHeardBy()
+			sink := newRecordingSink()
 			ctx, cancel := context.WithCancel(t.Context())
-			share := NewShare(source, nil, "own:1", nil)
-			watcher := NewWatcher(share, heard)
-			feed := NewFeed(source, nil, share, heard)
-			share.Follow(watcher, feed, "")
+			shared := NewShare(source, nil, "own:1", nil)
+			watcher := NewWatcher(shared, sink)
+			settingsWatcher := NewFeed(source, nil, shared, sink)
+			shared.Follow(watcher, settingsWatcher, "")
 			watcher.Start(ctx)
-			feed.Start(ctx)
+			settingsWatcher.Start(ctx)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			outage := 5*time.Second + time.Duration(i)*50*time.Millisecond
-			source.silence(outage)
+			source.startOutage(outage)
 			time.Sleep(outage + 2500*time.Millisecond)
 			synctest.Wait()
-			assert.DeepEqual(t, heard.versions, []uint64{1, 2})
+			assert.DeepEqual(t, sink.versions, []uint64{1, 2})
 			cancel()
 			synctest.Wait()
 		})
 	}
 }
 
-// settingsOf is a store that answers in order and then nothing new. It takes
-// questions only from where the last answer ended, as a store that forgets does.
-type settingsOf struct {
+// scriptedSettings is a store that gives its answers in order, and no newer ones after that. It
+// checks that each poll starts at the revision at which the last answer ended, as is required by
+// a store that discards its history.
+type scriptedSettings struct {
 	t       *testing.T
 	answers []slatewind.SettingsUpdate
 	asOf    uint64
 }
 
-func (s *settingsOf) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
-	assert.Check(s.t, after.Number == s.asOf, "asked from %s, not from %d on", after, s.asOf)
+func (s *scriptedSettings) Settings(ctx context.Context, after slatewind.Revision, wait time.Duration) (slatewind.SettingsUpdate, error) {
+	assert.Check(s.t, after.Number == s.asOf, "polled from %s, not from %d", after, s.asOf)
 	if len(s.answers) == 0 {
 		sleep(ctx, wait)
 		s.asOf += 10
 		return slatewind.SettingsUpdate{Revision: at(s.asOf)}, ctx.Err()
 	}
-	news := s.answers[0]
+	update := s.answers[0]
 	s.answers = s.answers[1:]
-	s.asOf = news.Revision.Number
-	return news, nil
+	s.asOf = update.Revision.Number
+	return update, nil
 }
 
-// TestFeed plays the answers of a store and states what a sink has heard.
-func TestFeed(t *testing.T) {
+// TestSettingsWatcher checks what a sink receives for the answers of a store.
+func TestSettingsWatcher(t *testing.T) {
 	v := func(version, revision uint64) slatewind.SettingsUpdate {
 		return slatewind.SettingsUpdate{Revision: at(revision), Settings: &slatewind.PublishedSettings{Version: version, Revision: at(revision - 1)}}
 	}
-	bad := slatewind.SettingsUpdate{Revision: at(30), Err: errors.New("bad value")}
+	undecodable := slatewind.SettingsUpdate{Revision: at(30), Err: errors.New("bad value")}
 	tests := map[string]struct {
 		answers  []slatewind.SettingsUpdate
 		versions []uint64
-		findings int
+		invalid  int
 	}{
-		"older settings change nothing": {[]slatewind.SettingsUpdate{v(7, 20), v(6, 30), v(8, 40)}, []uint64{7, 8}, 0},
-		"what cannot be read is told":   {[]slatewind.SettingsUpdate{v(7, 20), bad, v(8, 40)}, []uint64{7, 8}, 1},
+		"older settings are ignored":        {[]slatewind.SettingsUpdate{v(7, 20), v(6, 30), v(8, 40)}, []uint64{7, 8}, 0},
+		"undecodable settings are reported": {[]slatewind.SettingsUpdate{v(7, 20), undecodable, v(8, 40)}, []uint64{7, 8}, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heard := newHeardBy()
+				sink := newRecordingSink()
 				ctx, cancel := context.WithCancel(t.Context())
-				share := NewShare(nil, nil, "own:1", nil)
-				share.isReader.Store(true)
-				feed := NewFeed(&settingsOf{t: t, answers: test.answers}, nil, share, heard)
-				feed.Start(ctx)
+				shared := NewShare(nil, nil, "own:1", nil)
+				shared.isReader.Store(true)
+				settingsWatcher := NewFeed(&scriptedSettings{t: t, answers: test.answers}, nil, shared, sink)
+				settingsWatcher.Start(ctx)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				assert.DeepEqual(t, heard.versions, test.versions)
-				assert.Equal(t, heard.findings, test.findings)
+				assert.DeepEqual(t, sink.versions, test.versions)
+				assert.Equal(t, sink.invalid, test.invalid)
 				cancel()
 				synctest.Wait()
 			})
--- a/discovery/sharedsource_test.go
+++ b/discovery/sharedsource_test.go
@@ -9,196 +9,197 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestShare states how many processes call the store, and who hears what.
-func TestShare(t *testing.T) {
+// TestSharedSource checks how many processes call the store, and what the processes receive.
+func TestSharedSource(t *testing.T) {
 	tests := map[string]func(t *testing.T, ctx context.Context, f *fleet){
-		"two read for all": func(t *testing.T, _ context.Context, f *fleet) {
-			assert.Equal(t, len(f.called()), minReaders)
-			for name, share := range f.shares {
-				assert.Equal(t, share.Reads(), slices.Contains(f.called(), name), name)
+		"two processes read the store": func(t *testing.T, _ context.Context, f *fleet) {
+			assert.Equal(t, len(f.callers()), minReaders)
+			for name, source := range f.sources {
+				assert.Equal(t, source.Reads(), slices.Contains(f.callers(), name), name)
 			}
 		},
-		"readers exchange reports with one another only": func(t *testing.T, _ context.Context, f *fleet) {
-			for name, share := range f.shares {
+		"only readers exchange reports": func(t *testing.T, _ context.Context, f *fleet) {
+			for name, source := range f.sources {
 				f.mu.Lock()
-				exchanges := f.exchanged[name]
+				exchanges := f.exchanges[name]
 				f.mu.Unlock()
-				assert.Equal(t, exchanges > 0, share.Reads(), "%s: %d", name, exchanges)
+				assert.Equal(t, exchanges > 0, source.Reads(), "%s: %d", name, exchanges)
 			}
 		},
-		"all hear of settings in time": func(t *testing.T, _ context.Context, f *fleet) {
+		"all receive settings in time": func(t *testing.T, _ context.Context, f *fleet) {
 			f.publishVersion(3)
-			settle(1500 * time.Millisecond)
-			f.allHeard(t, 3)
+			advance(1500 * time.Millisecond)
+			f.checkVersion(t, 3)
 		},
-		"all hear of settings that came with a loss of the history": func(t *testing.T, _ context.Context, f *fleet) {
-			for _, name := range f.called() {
+		"all receive settings published with a loss of the history": func(t *testing.T, _ context.Context, f *fleet) {
+			for _, name := range f.callers() {
 				f.mu.Lock()
-				f.forgets[name] = true
+				f.historyGone[name] = true
 				f.mu.Unlock()
 			}
 			f.publishVersion(5)
-			settle(3 * time.Second)
-			f.allHeard(t, 5)
+			advance(3 * time.Second)
+			f.checkVersion(t, 5)
 		},
-		"all hear of a server that goes": func(t *testing.T, _ context.Context, f *fleet) {
+		"all observe a removed server": func(t *testing.T, _ context.Context, f *fleet) {
 			next := f.published
 			next.Servers = next.Servers[1:]
 			f.publish(next)
-			settle(1500 * time.Millisecond)
+			advance(1500 * time.Millisecond)
 			for name, sink := range f.sinks {
 				assert.Equal(t, len(sink.servers), len(next.Servers), name)
 			}
 		},
-		"others read when a reader freezes": func(t *testing.T, _ context.Context, f *fleet) {
-			for _, name := range f.called() {
+		"others read if the readers freeze": func(t *testing.T, _ context.Context, f *fleet) {
+			for _, name := range f.callers() {
 				f.mu.Lock()
 				f.frozen[name] = true
 				f.mu.Unlock()
 			}
 			f.publishVersion(3)
-			settle(3 * time.Second)
-			f.allHeard(t, 3)
+			advance(3 * time.Second)
+			f.checkVersion(t, 3)
 		},
-		"others read when the readers are cut off": func(t *testing.T, _ context.Context, f *fleet) {
-			for _, name := range f.called() {
-				f.cutOff(name, true)
+		"others read if the readers cannot reach the store": func(t *testing.T, _ context.Context, f *fleet) {
+			for _, name := range f.callers() {
+				f.setUnreachable(name, true)
 			}
 			f.publishVersion(3)
-			settle(5 * time.Second)
-			f.allHeard(t, 3)
+			advance(5 * time.Second)
+			f.checkVersion(t, 3)
 		},
-		"a process that is cut off keeps servers that vanish": func(t *testing.T, _ context.Context, f *fleet) {
-			victim := f.follower()
-			f.cutOff(victim, true)
-			settle(4 * time.Second)
+		"a process that cannot reach the store keeps removed servers": func(t *testing.T, _ context.Context, f *fleet) {
+			process := f.nonReader()
+			f.setUnreachable(process, true)
+			advance(4 * time.Second)
 			next := f.published
 			next.Servers = next.Servers[1:]
 			f.publish(next)
-			settle(3 * time.Second)
-			assert.Equal(t, len(f.sinks[victim].servers), len(next.Servers)+1)
-			f.cutOff(victim, false)
-			settle(6 * time.Second)
-			assert.Equal(t, len(f.sinks[victim].servers), len(next.Servers), "and lets go when it is back")
+			advance(3 * time.Second)
+			assert.Equal(t, len(f.sinks[process].servers), len(next.Servers)+1)
+			f.setUnreachable(process, false)
+			advance(6 * time.Second)
+			assert.Equal(t, len(f.sinks[process].servers), len(next.Servers), "removed once the store is reachable")
 		},
-		"a reader tells once that it cannot ask for settings, and once that it can": func(t *testing.T, _ context.Context, f *fleet) {
-			reader := f.called()[0]
-			f.cutOff(reader, true)
-			settle(6 * time.Second)
-			assert.DeepEqual(t, f.sinks[reader].settingsReach, []bool{false})
-			f.cutOff(reader, false)
-			settle(6 * time.Second)
-			assert.DeepEqual(t, f.sinks[reader].settingsReach, []bool{false, true})
+		"a reader reports once that settings are unreachable, and once that they are reachable": func(t *testing.T, _ context.Context, f *fleet) {
+			reader := f.callers()[0]
+			f.setUnreachable(reader, true)
+			advance(6 * time.Second)
+			assert.DeepEqual(t, f.sinks[reader].settingsReachable, []bool{false})
+			f.setUnreachable(reader, false)
+			advance(6 * time.Second)
+			assert.DeepEqual(t, f.sinks[reader].settingsReachable, []bool{false, true})
 		},
-		"one that starts while the store is away asks a seed": func(t *testing.T, ctx context.Context, f *fleet) {
-			seed := f.follower()
-			f.cutOff("new:1", true)
+		"a process that starts while the store is down queries a seed": func(t *testing.T, ctx context.Context, f *fleet) {
+			seed := f.nonReader()
+			f.setUnreachable("new:1", true)
 			f.start(ctx, "new:1", []string{seed})
-			settle(3 * time.Second)
+			advance(3 * time.Second)
 			assert.Equal(t, len(f.sinks["new:1"].servers), len(f.published.Servers))
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 12, func(t *testing.T, ctx context.Context, f *fleet) {
-				settle(3 * time.Second)
-				f.forgetCalls()
-				settle(5 * time.Second)
+			runFleet(t, 12, func(t *testing.T, ctx context.Context, f *fleet) {
+				advance(3 * time.Second)
+				f.resetCalls()
+				advance(5 * time.Second)
 				test(t, ctx, f)
 			})
 		})
 	}
 }
 
-// TestCallsWhileStoreIsAway: processes that cannot reach the store ask it little, and
-// all of them hear of it again soon after it is back.
-func TestCallsWhileStoreIsAway(t *testing.T) {
-	inFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
-		settle(5 * time.Second)
-		f.allCutOff(true)
-		settle(4 * time.Second)
-		f.countAnew()
-		const away = 10
-		settle(away * time.Second)
+// TestCallsWhileStoreIsDown checks that processes that cannot reach the store call it rarely, and
+// that all receive updates again soon after it is back.
+func TestCallsWhileStoreIsDown(t *testing.T) {
+	runFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
+		advance(5 * time.Second)
+		f.setAllUnreachable(true)
+		advance(4 * time.Second)
+		f.resetCounts()
+		const seconds = 10
+		advance(seconds * time.Second)
 		calls, pings := f.counts()
-		assert.Assert(t, calls <= minReaders*3*away, "%d calls in %d s", calls, away)
-		assert.Assert(t, pings <= 30*away/2, "%d pings in %d s", pings, away)
-		f.allCutOff(false)
+		assert.Assert(t, calls <= minReaders*3*seconds, "%d calls in %d s", calls, seconds)
+		assert.Assert(t, pings <= 30*seconds/2, "%d pings in %d s", pings, seconds)
+		f.setAllUnreachable(false)
 		f.publishVersion(3)
-		settle(3 * time.Second)
-		f.allHeard(t, 3)
+		advance(3 * time.Second)
+		f.checkVersion(t, 3)
 	})
 }
 
-// TestProcessesThatBeginWaitForSettings: processes that begin before there are settings wait for
-// them with few calls, and all have them soon once they are published, also those whose
-// call is lost.
-func TestProcessesThatBeginWaitForSettings(t *testing.T) {
-	inFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
-		settle(6 * time.Second)
+// TestNewProcessesWaitForSettings checks that processes that start before there are settings wait
+// for them with few calls, and that all have them soon after they are published, even a process
+// whose call is lost.
+func TestNewProcessesWaitForSettings(t *testing.T) {
+	runFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
+		advance(6 * time.Second)
 		f.mu.Lock()
-		asked := f.settingsCalls
+		calls := f.settingsCalls
 		f.mu.Unlock()
-		assert.Assert(t, asked <= 30+minReaders*4, "%d calls for settings", asked)
-		victim := "server-7:1"
-		f.cutOff(victim, true)
+		assert.Assert(t, calls <= 30+minReaders*4, "%d calls for settings", calls)
+		process := "server-7:1"
+		f.setUnreachable(process, true)
 		f.publishVersion(1)
-		settle(2 * time.Second)
-		f.allHeard(t, 1)
+		advance(2 * time.Second)
+		f.checkVersion(t, 1)
 	})
 }
 
-// TestSettingsLateBehindSilentPeers: two processes that were silent one after the other kept a third from asking the store.
+// TestSettingsLateBehindSilentPeers guards against two peers that are silent one after the other
+// and so keep a process from querying the store.
 func TestSettingsLateBehindSilentPeers(t *testing.T) {
 	for phase := range 8 {
-		inFleet(t, 12, func(t *testing.T, _ context.Context, f *fleet) {
+		runFleet(t, 12, func(t *testing.T, _ context.Context, f *fleet) {
 			f.publishVersion(1)
-			settle(5*time.Second + time.Duration(phase)*100*time.Millisecond)
+			advance(5*time.Second + time.Duration(phase)*100*time.Millisecond)
 			f.mu.Lock()
-			f.mute = true
+			f.silent = true
 			f.mu.Unlock()
 			f.publishVersion(2)
-			settle(leastConfigTime)
-			for name, feed := range f.feeds {
-				assert.Check(t, feed.Version() == 2, "phase %d: %s has version %d", phase, name, feed.Version())
+			advance(minSettingsBound)
+			for name, settingsWatcher := range f.settingsWatchers {
+				assert.Check(t, settingsWatcher.Version() == 2, "phase %d: %s has version %d", phase, name, settingsWatcher.Version())
 			}
 		})
 	}
 }
 
-// TestShortOutage: entries that ran out in an outage of the store stay for a heartbeat
-// after it, also at processes that did not notice the outage but were told by one that
-// did.
+// TestShortOutage checks that servers whose entries expired in an outage of the store are kept
+// for a heartbeat interval after it, also by processes that did not notice the outage themselves
+// but received the update from one that did.
 func TestShortOutage(t *testing.T) {
-	inFleet(t, 12, func(t *testing.T, _ context.Context, f *fleet) {
-		settle(5 * time.Second)
+	runFleet(t, 12, func(t *testing.T, _ context.Context, f *fleet) {
+		advance(5 * time.Second)
 		all := f.published
-		f.allCutOff(true)
-		settle(950 * time.Millisecond)
+		f.setAllUnreachable(true)
+		advance(950 * time.Millisecond)
 		without := all
 		without.Servers = all.Servers[1:]
 		f.publish(without)
-		f.allCutOff(false)
+		f.setAllUnreachable(false)
 		for range 13 {
-			settle(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 			for name, sink := range f.sinks {
-				assert.Check(t, len(sink.servers) == len(all.Servers), "%s let a server go", name)
+				assert.Check(t, len(sink.servers) == len(all.Servers), "%s removed a server", name)
 			}
 		}
 		f.publish(all)
-		settle(4 * time.Second)
+		advance(4 * time.Second)
 		for name, sink := range f.sinks {
-			assert.Check(t, len(sink.servers) == len(all.Servers), "%s let a server go", name)
+			assert.Check(t, len(sink.servers) == len(all.Servers), "%s removed a server", name)
 		}
 	})
 }
 
-// TestQuietFleetPingsNothing: while nothing happens only readers ask the store.
-func TestQuietFleetPingsNothing(t *testing.T) {
-	inFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
-		settle(5 * time.Second)
-		f.countAnew()
-		settle(10 * time.Second)
+// TestNoPingsWithoutFaults checks that only readers call the store in normal operation.
+func TestNoPingsWithoutFaults(t *testing.T) {
+	runFleet(t, 30, func(t *testing.T, _ context.Context, f *fleet) {
+		advance(5 * time.Second)
+		f.resetCounts()
+		advance(10 * time.Second)
 		calls, pings := f.counts()
 		assert.Equal(t, pings, 0)
 		assert.Assert(t, calls <= minReaders*12, "%d calls in 10 s", calls)
--- a/discovery/starts_test.go
+++ b/discovery/starts_test.go
@@ -11,19 +11,19 @@
 	"slatewind.example/slatewind"
 )
 
-// startSink keeps the entry that is in use, and fails where an older start comes back.
+// startSink keeps the entry in use, and records a violation if an older start is used again.
 type startSink struct {
-	*heardBy
-	entry  *slatewind.ServerEntry
-	newest int64
-	broken string
+	*recordingSink
+	entry     *slatewind.ServerEntry
+	newest    int64
+	violation string
 }
 
-func newStartSink() *startSink { return &startSink{heardBy: newHeardBy()} }
+func newStartSink() *startSink { return &startSink{recordingSink: newRecordingSink()} }
 
 func (s *startSink) Server(_ time.Time, e slatewind.ServerEntry) {
 	if e.Start < s.newest {
-		s.broken = fmt.Sprintf("start %d is used after start %d", e.Start, s.newest)
+		s.violation = fmt.Sprintf("start %d is used after start %d", e.Start, s.newest)
 	}
 	s.newest = e.Start
 	s.entry = &e
@@ -31,20 +31,20 @@
 
 func (s *startSink) ServerGone(time.Time, string) { s.entry = nil }
 
-// write is one change of a server's key: an entry, or its removal where it is zero.
+// write is one change of a server's key: an entry, or its removal if it is zero.
 type write struct {
 	start   int64
 	leaving bool
 }
 
-// writes are all changes that two starts of one server can bring about. A store may take
-// one late, so that they come in any order.
+// writes are all changes that two starts of one server can cause. A store may apply a write late,
+// so they occur in any order.
 var writes = []write{{1, false}, {1, true}, {2, false}, {2, true}, {}}
 
-// history is what a store took, the first write at revision 1.
+// history is the sequence of writes that a store applied, the first one at revision 1.
 type history []write
 
-// at returns the entry that stands at a revision, or nil.
+// at returns the entry at a revision, or nil.
 func (h history) at(revision int) *slatewind.ServerEntry {
 	created := 0
 	for i, w := range h[:revision] {
@@ -62,7 +62,8 @@
 	return &slatewind.ServerEntry{Name: "s", Service: "svc", Address: "a:1", Start: w.start, Leaving: w.leaving, Created: uint64(created)}
 }
 
-// read is an answer of the store at a revision: all there is, or what changed since.
+// read is the store's answer at a revision: the full state, or the changes since another
+// revision.
 func (h history) read(after, revision int) slatewind.ServerUpdate {
 	p := slatewind.ServerUpdate{Revision: at(uint64(revision)), Complete: after == 0}
 	entry := h.at(revision)
@@ -75,46 +76,47 @@
 	return p
 }
 
-// step is what the other process does after a write: nothing, ask the reading one, or read
-// the store itself.
+// step is what the other process does after a write: nothing, query the reader, or read the store
+// itself.
 type step string
 
 const (
-	stepNone step = "none"
-	stepAsk  step = "ask"
-	stepRead step = "read"
+	stepNone  step = "none"
+	stepQuery step = "query"
+	stepRead  step = "read"
 )
 
-// moments is when two processes learn: the reading one of the store after some writes and
-// after the last, the other in whatever way it steps, and by asking after the last.
-type moments struct {
+// schedule states when two processes receive updates. After some of the writes, and after the
+// last, the reader reads the store; the other process follows its steps, and queries the reader
+// after the last write.
+type schedule struct {
 	reads []bool
 	steps []step
-	// whole says that the store has lost its history each time.
-	whole bool
+	// complete reports that the store has lost its history each time.
+	complete bool
 }
 
-// allMoments returns every choice of moments for so many writes.
-func allMoments(writes int) []moments {
-	list := []moments{{}, {whole: true}}
+// allSchedules returns all schedules for a number of writes.
+func allSchedules(writes int) []schedule {
+	list := []schedule{{}, {complete: true}}
 	for range writes - 1 {
-		var longer []moments
+		var longer []schedule
 		for _, m := range list {
 			for _, read := range []bool{false, true} {
-				for _, s := range []step{stepNone, stepAsk, stepRead} {
-					longer = append(longer, moments{append(slices.Clone(m.reads), read), append(slices.Clone(m.steps), s), m.whole})
+				for _, s := range []step{stepNone, stepQuery, stepRead} {
+					longer = append(longer, schedule{append(slices.Clone(m.reads), read), append(slices.Clone(m.steps), s), m.complete})
 				}
 			}
 		}
 		list = longer
 	}
 	for i := range list {
-		list[i].reads, list[i].steps = append(list[i].reads, true), append(list[i].steps, stepAsk)
+		list[i].reads, list[i].steps = append(list[i].reads, true), append(list[i].steps, stepQuery)
 	}
 	return list
 }
 
-// allHistories returns every history of so many writes.
+// allHistories returns all histories with a number of writes.
 func allHistories(length int) []history {
 	list := []history{nil}
 	for range length {
@@ -129,72 +131,74 @@
 	return list
 }
 
-// TestStartsInEveryOrder: whatever two starts of a server write in whatever order, whenever
-// one process reads it and another hears of it from that one or the store, neither goes
-// back to an older start, both agree in the end unless one knows of a newer start, what the newer start said last counts, and
-// what is removed is gone. All histories of four writes and all moments are explored.
+// TestStartsInEveryOrder explores all histories of four writes of two starts of a server, in all
+// schedules in which one process reads the store and another queries the reader or the store. It
+// checks that neither process uses an older start after a newer one, that both agree in the end
+// unless one knows of a newer start, that the last write of the newer start is in use, and that a
+// server whose entry is removed is removed.
 func TestStartsInEveryOrder(t *testing.T) {
 	const length = 4
-	all := allMoments(length)
+	all := allSchedules(length)
 	for _, h := range allHistories(length) {
 		for _, m := range all {
-			playStarts(t, h, m)
+			runStarts(t, h, m)
 		}
 	}
 }
 
-// playStarts plays one history.
-func playStarts(t *testing.T, h history, m moments) {
+// runStarts runs one history.
+func runStarts(t *testing.T, h history, m schedule) {
 	now := time.Unix(1000, 0)
-	reading, hearing := newStartSink(), newStartSink()
-	reader, other := NewWatcher(nil, reading), NewWatcher(nil, hearing)
+	readerSink, otherSink := newStartSink(), newStartSink()
+	reader, other := NewWatcher(nil, readerSink), NewWatcher(nil, otherSink)
 	var want *slatewind.ServerEntry
 	newest, read := int64(0), 0
 	for i := range h {
 		revision := i + 1
 		if m.reads[i] {
 			reader.apply(now, h.read(m.after(reader), revision))
-			want = expect(want, newest, read, h.at(revision))
+			want = expected(want, newest, read, h.at(revision))
 			if want != nil {
 				newest = want.Start
 			}
 			read = revision
 		}
 		switch m.steps[i] {
-		case stepAsk:
-			hearing.ask(now, other, reader)
+		case stepQuery:
+			otherSink.query(now, other, reader)
 		case stepRead:
 			other.apply(now, h.read(m.after(other), revision))
 		}
 	}
 	last := h[len(h)-1]
 	switch {
-	case reading.broken != "" || hearing.broken != "":
-	case !same(reading.entry, want), !hearing.agrees(want):
+	case readerSink.violation != "" || otherSink.violation != "":
+	case !equal(readerSink.entry, want), !otherSink.agrees(want):
 	case last == write{} && want != nil:
 	case last.start == 2 && (want == nil || write{want.Start, want.Leaving} != last):
 	default:
 		return
 	}
-	t.Fatalf("history %v, moments %v: the reader uses %v %s, the other %v %s, expected %v",
-		h, m, reading.entry, reading.broken, hearing.entry, hearing.broken, want)
+	t.Fatalf("history %v, schedule %v: the reader uses %v %s, the other %v %s, expected %v",
+		h, m, readerSink.entry, readerSink.violation, otherSink.entry, otherSink.violation, want)
 }
 
-// after returns the revision after which a process asks the store for changes.
-func (m moments) after(w *Watcher) int {
-	if m.whole {
+// after returns the revision after which a process requests changes from the store.
+func (m schedule) after(w *Watcher) int {
+	if m.complete {
 		return 0
 	}
 	return int(w.Revision().Number)
 }
 
-// ask has a process ask another one. No start that it was told of may be undone.
-func (s *startSink) ask(now time.Time, asking, asked *Watcher) {
+// query makes a process query another one. The newest starts that it receives must not be
+// superseded by older ones.
+func (s *startSink) query(now time.Time, asking, asked *Watcher) {
 	p := asked.Since(asking.Revision())
 	p.Relayed = true
-	heard := !asking.Revision().After(p.Revision)
+	applied := !asking.Revision().After(p.Revision)
 	asking.apply(now, p)
-	if !heard {
+	if !applied {
 		return
 	}
 	for _, ended := range p.Ended {
@@ -202,36 +206,36 @@
 	}
 }
 
-// expect returns what a process uses that used before until a revision, knows of a newest
-// start, and finds now.
-func expect(before *slatewind.ServerEntry, newest int64, revision int, now *slatewind.ServerEntry) *slatewind.ServerEntry {
+// expected returns the entry that a process uses, given the entry that it used up to a revision,
+// the newest start that it knows of and the entry that it reads now.
+func expected(before *slatewind.ServerEntry, newest int64, revision int, now *slatewind.ServerEntry) *slatewind.ServerEntry {
 	switch {
 	case now == nil, now.Start >= newest:
 		return now
 	case now.Created > uint64(revision):
-		// The newer start's own entry was removed before the older one's came.
+		// The entry of the newer start was removed before that of the older one was created.
 		return nil
 	}
 	return before
 }
 
-// agrees reports whether a process uses what the one that it asked does, unless it knows of
-// a newer start: then that one or none.
+// agrees reports whether a process uses the same entry as the one that it queried. If it knows of
+// a newer start, it must use that one or none.
 func (s *startSink) agrees(other *slatewind.ServerEntry) bool {
 	if other != nil && s.newest > other.Start {
 		return s.entry == nil || s.entry.Start == s.newest
 	}
-	return same(s.entry, other)
+	return equal(s.entry, other)
 }
 
-// same reports whether two views of a server are the same; nil is none.
-func same(a, b *slatewind.ServerEntry) bool {
+// same reports whether two entries are equal; nil means no entry.
+func equal(a, b *slatewind.ServerEntry) bool {
 	return a == b || a != nil && b != nil && *a == *b
 }
 
-// TestOlderViewOfAnother: a process that lost the store's history and the store itself
-// keeps what it knows where another one knows less.
-func TestOlderViewOfAnother(t *testing.T) {
+// TestOlderPeerView checks that a process that must read the full state and cannot reach the
+// store keeps its view if a peer has an older one.
+func TestOlderPeerView(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := history{{1, false}, {2, false}, {2, true}}
 	for known := range len(h) {
@@ -242,16 +246,16 @@
 		older := h.read(0, known)
 		older.Relayed = true
 		w.apply(now, older)
-		assert.Equal(t, sink.broken, "")
-		assert.Assert(t, sink.entry != nil && sink.entry.Leaving, "a server that said it leaves does not come back")
+		assert.Equal(t, sink.violation, "")
+		assert.Assert(t, sink.entry != nil && sink.entry.Leaving, "a leaving server must not come back")
 		assert.Equal(t, w.Revision(), at(3))
-		assert.Equal(t, w.after(), slatewind.Revision{}, "everything is still to be read")
+		assert.Equal(t, w.after(), slatewind.Revision{}, "the full state must still be read")
 	}
 }
 
-// TestStartOfUnknownTime: where servers state no start, their names tell starts apart; an
-// entry without one, under a name whose server states it, names no server.
-func TestStartOfUnknownTime(t *testing.T) {
+// TestUnknownStart checks entries that state no start. They are used as long as their server
+// states none; after that, they identify no server.
+func TestUnknownStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(start int64) slatewind.ServerUpdate {
 		return slatewind.ServerUpdate{Revision: at(2), Servers: []slatewind.ServerEntry{{Name: "s", Service: "svc", Address: "a:1", Start: start, Created: 1}}}
@@ -264,13 +268,13 @@
 	assert.Equal(t, sink.entry.Start, int64(5))
 	w.apply(now, entry(0))
 	assert.Assert(t, sink.entry == nil)
-	assert.Equal(t, sink.findings, 1)
+	assert.Equal(t, sink.invalid, 1)
 	w.apply(now, entry(5))
 	assert.Equal(t, sink.entry.Start, int64(5))
 }
 
-// TestEntriesWithoutStart: where most servers state when they started, an entry that does
-// not names no server, whenever it comes; where few do, all count.
+// TestEntriesWithoutStart checks that an entry that states no start is rejected, whenever it
+// arrives, if most servers state one, and that all are accepted if few do.
 func TestEntriesWithoutStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entries := func(start int64, names ...string) []slatewind.ServerEntry {
@@ -280,41 +284,41 @@
 		}
 		return list
 	}
-	whole := func(list ...[]slatewind.ServerEntry) slatewind.ServerUpdate {
+	full := func(list ...[]slatewind.ServerEntry) slatewind.ServerUpdate {
 		return slatewind.ServerUpdate{Revision: at(1), Complete: true, Servers: slices.Concat(list...)}
 	}
 	later := func(revision uint64, list []slatewind.ServerEntry) slatewind.ServerUpdate {
 		return slatewind.ServerUpdate{Revision: at(revision), Servers: list}
 	}
 	tests := map[string]struct {
-		news     []slatewind.ServerUpdate
-		used     []string
-		findings int
+		updates []slatewind.ServerUpdate
+		used    []string
+		invalid int
 	}{
-		"none states one":           {[]slatewind.ServerUpdate{whole(entries(0, "a", "b"))}, []string{"a", "b"}, 0},
-		"all do":                    {[]slatewind.ServerUpdate{whole(entries(5, "a", "b"))}, []string{"a", "b"}, 0},
-		"one does not":              {[]slatewind.ServerUpdate{whole(entries(0, "a"), entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
-		"one that comes later":      {[]slatewind.ServerUpdate{whole(entries(5, "b", "c", "d")), later(2, entries(0, "a"))}, []string{"b", "c", "d"}, 1},
-		"one that came before most": {[]slatewind.ServerUpdate{whole(entries(0, "a")), later(2, entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
-		"one stranger states one":   {[]slatewind.ServerUpdate{whole(entries(0, "a", "b", "c"), entries(5, "x"))}, []string{"a", "b", "c", "x"}, 0},
-		"half of them":              {[]slatewind.ServerUpdate{whole(entries(0, "a", "b"), entries(5, "c", "d"))}, []string{"a", "b", "c", "d"}, 0},
+		"no entry states a start":                {[]slatewind.ServerUpdate{full(entries(0, "a", "b"))}, []string{"a", "b"}, 0},
+		"all entries state a start":              {[]slatewind.ServerUpdate{full(entries(5, "a", "b"))}, []string{"a", "b"}, 0},
+		"one entry states none":                  {[]slatewind.ServerUpdate{full(entries(0, "a"), entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
+		"one that states none is added later":    {[]slatewind.ServerUpdate{full(entries(5, "b", "c", "d")), later(2, entries(0, "a"))}, []string{"b", "c", "d"}, 1},
+		"one that states none was added first":   {[]slatewind.ServerUpdate{full(entries(0, "a")), later(2, entries(5, "b", "c", "d"))}, []string{"b", "c", "d"}, 1},
+		"only an unrelated entry states a start": {[]slatewind.ServerUpdate{full(entries(0, "a", "b", "c"), entries(5, "x"))}, []string{"a", "b", "c", "x"}, 0},
+		"half of the entries state a start":      {[]slatewind.ServerUpdate{full(entries(0, "a", "b"), entries(5, "c", "d"))}, []string{"a", "b", "c", "d"}, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			sink := newHeardBy()
+			sink := newRecordingSink()
 			w := NewWatcher(nil, sink)
-			for _, p := range test.news {
+			for _, p := range test.updates {
 				w.apply(now, p)
 			}
 			assert.DeepEqual(t, sink.names(), test.used)
-			assert.Equal(t, sink.findings, test.findings)
+			assert.Equal(t, sink.invalid, test.invalid)
 		})
 	}
 }
 
-// TestStartAfterClockWentBack: a start that seems to be older and whose entry stands on is
-// used after a while: its VM's clock went back. One whose entry is overwritten or removed in
-// time is not.
+// TestStartAfterClockWentBack checks that a start that appears to be older is used after a while
+// if its entry remains, because the clock of its VM was set back, and that it is not used if its
+// entry is overwritten or removed in time.
 func TestStartAfterClockWentBack(t *testing.T) {
 	start := time.Unix(1000, 0)
 	entry := func(revision uint64, start int64) slatewind.ServerUpdate {
@@ -323,42 +327,43 @@
 	}
 	removed := slatewind.ServerUpdate{Revision: at(4), Removed: []string{"s"}}
 	tests := map[string]struct {
-		news []slatewind.ServerUpdate
-		// soon and late are the starts that are used before and after the while.
-		soon, late int64
+		updates []slatewind.ServerUpdate
+		// before and after are the starts in use before and after supersededTimeout.
+		before, after int64
 	}{
-		"it stands on":                    {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3)}, 5, 3},
-		"the newer one writes again":      {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), entry(4, 5)}, 5, 5},
-		"it goes":                         {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), removed}, 0, 0},
-		"it came after the newer one's":   {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3)}, 0, 3},
-		"and goes before all is read":     {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3), {Revision: at(5), Complete: true}}, 0, 0},
-		"nothing but the newer one wrote": {[]slatewind.ServerUpdate{entry(2, 5)}, 5, 5},
+		"the older entry remains":                                           {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3)}, 5, 3},
+		"the newer start writes again":                                      {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), entry(4, 5)}, 5, 5},
+		"the entry is removed":                                              {[]slatewind.ServerUpdate{entry(2, 5), entry(3, 3), removed}, 0, 0},
+		"the older entry follows a removal":                                 {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3)}, 0, 3},
+		"the older entry follows a removal and is missing from a full read": {[]slatewind.ServerUpdate{entry(2, 5), {Revision: at(3), Removed: []string{"s"}}, entry(4, 3), {Revision: at(5), Complete: true}}, 0, 0},
+		"only the newer start writes":                                       {[]slatewind.ServerUpdate{entry(2, 5)}, 5, 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			sink := newStartSink()
 			w := NewWatcher(nil, sink)
-			for _, p := range test.news {
+			for _, p := range test.updates {
 				w.apply(start, p)
 			}
 			w.expire(start.Add(supersededTimeout - time.Millisecond))
-			assert.Equal(t, sink.used(), test.soon)
+			assert.Equal(t, sink.usedStart(), test.before)
 			w.expire(start.Add(supersededTimeout))
-			assert.Equal(t, sink.used(), test.late)
+			assert.Equal(t, sink.usedStart(), test.after)
 		})
 	}
 }
 
-// used returns the start that is used, 0 for none.
-func (s *startSink) used() int64 {
+// usedStart returns the start in use, or 0.
+func (s *startSink) usedStart() int64 {
 	if s.entry == nil {
 		return 0
 	}
 	return s.entry.Start
 }
 
-// TestNewerStartLostToCopy: a start is used on though a copy of the store holds an older one that came to be at a higher number.
-func TestNewerStartLostToCopy(t *testing.T) {
+// TestNewerStartKeptAfterRestore checks that a start remains in use although a restored store
+// contains an older one that was created at a higher number.
+func TestNewerStartKeptAfterRestore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(start int64, created uint64) slatewind.ServerEntry {
 		return slatewind.ServerEntry{Name: "s", Service: "svc", Address: "a:1", Start: start, Created: created}
@@ -368,5 +373,5 @@
 	w.apply(now, slatewind.ServerUpdate{Revision: at(9), Complete: true, Servers: []slatewind.ServerEntry{entry(5, 8)}})
 	w.apply(now, slatewind.ServerUpdate{Revision: slatewind.Revision{Era: 1, Number: 12}, Complete: true, Servers: []slatewind.ServerEntry{entry(3, 10)}})
 	w.expire(now.Add(2 * renewalGrace))
-	assert.Equal(t, sink.used(), int64(5))
+	assert.Equal(t, sink.usedStart(), int64(5))
 }
--- a/discovery/suspended_test.go
+++ b/discovery/suspended_test.go
@@ -11,7 +11,7 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// suspendedFor returns a clock of a VM that was suspended for a time which tests change.
+// suspendedFor returns the clock of a VM whose total suspension is *d.
 func suspendedFor(d *time.Duration) timer.Clock {
 	return timer.Clock{Suspension: func() time.Duration { return *d }}
 }
@@ -31,9 +31,9 @@
 // Exchange implements Peers.
 func (suspendingPeers) Exchange(context.Context, string) {}
 
-// TestAgeCountsSuspension: what a process knows grows old while its VM is suspended, so that
-// nobody whom it tells takes that for new, and an answer that came meanwhile is as old.
-func TestAgeCountsSuspension(t *testing.T) {
+// TestAgeIncludesSuspension checks that a view ages while the VM is suspended, so that no peer
+// takes it for current, and that an answer received meanwhile is as old.
+func TestAgeIncludesSuspension(t *testing.T) {
 	const sleep = 4 * time.Second
 	var suspended time.Duration
 	w := NewWatcher(nil, nil)
