--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -66,7 +66,7 @@
 	now := time.Unix(1000, 0)
 	const many = 500
 	for i := range many {
-		f.nodes[0].Finding(now.Add(time.Duration(i)*time.Millisecond), &platform.EntryError{
+		f.nodes[0].InvalidData(now.Add(time.Duration(i)*time.Millisecond), &platform.EntryError{
 			Key: fmt.Sprint("servers/x-", i), Revision: uint64(i), Fields: []platform.FieldError{{Field: "State", Cause: fmt.Errorf("unknown")}},
 		})
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -44,10 +44,10 @@
 	pool     *link.Pool
 	inbound  *inbound.Inbound
 	outbound *outbound.Outbound
-	share    *discovery.Share
+	share    *discovery.SharedSource
 	watcher  *discovery.Watcher
-	services *discovery.Services
-	feed     *discovery.Feed
+	services *discovery.ServiceFilter
+	feed     *discovery.SettingsWatcher
 	// limiter keeps the limits of workspaces.
 	limiter *ratelimit.Limiter
 	// reports holds what is known of sick servers.
@@ -118,7 +118,7 @@
 	n.peers = grpc.NewServer(link.ServerOptions()...)
 	slatewindv1.RegisterSlotsServer(n.peers, link.SlotsServer{Serve: n.inbound.Serve})
 	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Give: n.limiter.Give})
-	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{Known: n.since, Exchange: n.exchange, Told: n.told, Newest: n.feed.Newest})
+	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{Known: n.since, Exchange: n.exchange, Told: n.told, Newest: n.feed.Current})
 	return serveAll(n.logger, []service{
 		{"callers", n.settings.GetIngressAddress(), n.callers.Serve},
 		{"ready", n.settings.GetReadyAddress(), n.ready.Serve},
@@ -158,7 +158,7 @@
 	out, in, known := n.outbound.View(now), n.inbound.View(), n.watcher.Revision()
 	return admin.State{
 		VM: n.settings.GetVm(), DataCentre: n.settings.GetDataCentre(), Version: Version, Time: now,
-		Settings: inForce(n.settings.GetVm(), n.store), Reader: n.share.Reads(), Outbound: &out, Inbound: &in, Known: &known,
+		Settings: inForce(n.settings.GetVm(), n.store), Reader: n.share.IsReader(), Outbound: &out, Inbound: &in, Known: &known,
 		Limits: n.limiter.Uses(now), Suspects: n.suspects.Views(now),
 	}
 }
--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -68,7 +68,7 @@
 
 // since answers another node that has the given version of the settings.
 func (n *Node) since(after slatewind.Revision, version uint64) slatewind.ServerUpdate {
-	n.feed.Heard(version, "")
+	n.feed.ObserveVersion(version, "")
 	p := n.watcher.Since(after)
 	p.Version = n.feed.Version()
 	return p
--- a/daemon/nodesink.go
+++ b/daemon/nodesink.go
@@ -13,7 +13,7 @@
 
 // Settings implements discovery.SettingsSink.
 func (n *Node) Settings(now time.Time, settings *slatewind.PublishedSettings, from string, took time.Duration) {
-	n.services.Name(now, settings.Fleet)
+	n.services.ApplySettings(now, settings.Fleet)
 	n.store.Adopt(now, fmt.Sprintf("%s took=%s revision=%s", nameOf(from), took.Round(time.Millisecond), settings.Revision), settings)
 }
 
@@ -56,8 +56,8 @@
 	entryLinesTime = 10 * time.Second
 )
 
-// Finding implements discovery.Sink and discovery.SettingsSink.
-func (n *Node) Finding(now time.Time, finding error) {
+// InvalidData implements discovery.Sink and discovery.SettingsSink.
+func (n *Node) InvalidData(now time.Time, finding error) {
 	var entry *platform.EntryError
 	var start *discovery.StartError
 	var service *discovery.ServiceError
@@ -98,8 +98,8 @@
 	})
 }
 
-// Slow implements discovery.Sink.
-func (n *Node) Slow(news discovery.SlowNews) {
+// SlowPoll implements discovery.Sink.
+func (n *Node) SlowPoll(news discovery.SlowPoll) {
 	n.logger.Warn("news took long", "from", nameOf(news.From), "took", news.Took.Round(time.Millisecond),
 		"age", news.Age.Round(time.Millisecond), "servers", news.Servers, "removed", news.Removed)
 }
@@ -109,18 +109,18 @@
 	n.logger.Warn("store restored", "known_until", before, "read_at", since)
 }
 
-// Reach implements discovery.Sink.
-func (n *Node) Reach(_ time.Time, reached bool, cause error) {
+// SourceReachable implements discovery.Sink.
+func (n *Node) SourceReachable(_ time.Time, reached bool, cause error) {
 	n.logReach("store", reached, cause)
 }
 
-// SettingsReach implements discovery.SettingsSink.
-func (n *Node) SettingsReach(_ time.Time, reached bool, cause error) {
+// SettingsReachable implements discovery.SettingsSink.
+func (n *Node) SettingsReachable(_ time.Time, reached bool, cause error) {
 	n.logReach("settings", reached, cause)
 }
 
-// NotHanded implements discovery.SettingsSink.
-func (n *Node) NotHanded(_ time.Time, from string, cause error) {
+// PeerFetchFailed implements discovery.SettingsSink.
+func (n *Node) PeerFetchFailed(_ time.Time, from string, cause error) {
 	n.logger.Info("settings not handed over", "from", from, "cause", cause)
 }
 
--- a/daemon/nodewiring.go
+++ b/daemon/nodewiring.go
@@ -65,10 +65,10 @@
 		platform.Callers(), store, j, n, n.inbound, m, n.reports, n.limiter, n.suspects,
 	)
 	client := platform.NewClient("http://"+process.GetStore().GetAddress(), func(call platform.Call, err error) { m.PlatformCall(string(call), err) })
-	n.share = discovery.NewShare(client, nodePeers{n}, process.GetLocalServer().GetAddress(), process.GetSeedPeers())
-	n.services = discovery.NewServices(n)
+	n.share = discovery.NewSharedSource(client, nodePeers{n}, process.GetLocalServer().GetAddress(), process.GetSeedPeers())
+	n.services = discovery.NewServiceFilter(n)
 	n.watcher = discovery.NewWatcher(n.share, n.services)
-	n.feed = discovery.NewFeed(client, nodePeers{n}, n.share, n)
-	n.share.Follow(n.watcher, n.feed, process.GetDataCentre())
+	n.feed = discovery.NewSettingsWatcher(client, nodePeers{n}, n.share, n)
+	n.share.Attach(n.watcher, n.feed, process.GetDataCentre())
 	return n
 }
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -22,8 +22,8 @@
 	mu               sync.Mutex
 	watchers         map[string]*Watcher
 	sinks            map[string]*recordingSink
-	sources          map[string]*Share
-	settingsWatchers map[string]*Feed
+	sources          map[string]*SharedSource
+	settingsWatchers map[string]*SettingsWatcher
 	// The store cannot be reached by unreachable processes, and frozen processes do not answer.
 	// storeDelay is the time by which the store's answers to a process are delayed.
 	unreachable, frozen map[string]bool
@@ -135,7 +135,7 @@
 		<-ctx.Done()
 		return slatewind.ServerUpdate{}, ctx.Err()
 	}
-	settingsWatcher.Heard(version, "")
+	settingsWatcher.ObserveVersion(version, "")
 	p := watcher.Since(after)
 	p.Version = settingsWatcher.Version()
 	return p, outgoing.transfer(ctx, entryBytes)
@@ -150,7 +150,7 @@
 		sleep(ctx, time.Second)
 		return nil, errors.New("silent")
 	}
-	settings := settingsWatcher.Newest()
+	settings := settingsWatcher.Current()
 	if settings == nil || settings.Version <= version || !f.addTransfer(address, 1) {
 		return nil, nil
 	}
@@ -173,8 +173,8 @@
 
 func newFleet(ctx context.Context, n int) *fleet {
 	f := &fleet{
-		watchers: map[string]*Watcher{}, sinks: map[string]*recordingSink{}, sources: map[string]*Share{}, unreachable: map[string]bool{}, frozen: map[string]bool{},
-		storeDelay: map[string]time.Duration{}, settingsWatchers: map[string]*Feed{}, transfers: map[string]int{}, historyGone: map[string]bool{}, choices: map[string]int{}, random: rand.New(rand.NewPCG(1, 2)), incoming: map[string]*link{}, outgoing: map[string]*link{},
+		watchers: map[string]*Watcher{}, sinks: map[string]*recordingSink{}, sources: map[string]*SharedSource{}, unreachable: map[string]bool{}, frozen: map[string]bool{},
+		storeDelay: map[string]time.Duration{}, settingsWatchers: map[string]*SettingsWatcher{}, transfers: map[string]int{}, historyGone: map[string]bool{}, choices: map[string]int{}, random: rand.New(rand.NewPCG(1, 2)), incoming: map[string]*link{}, outgoing: map[string]*link{},
 		calls: map[string]int{}, exchanges: map[string]int{}, published: slatewind.ServerUpdate{Revision: at(1)},
 	}
 	for i := range n {
@@ -202,13 +202,13 @@
 func (f *fleet) start(ctx context.Context, self string, seeds []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	source := NewShare(fleetStore{f, self}, f, self, seeds)
+	source := NewSharedSource(fleetStore{f, self}, f, self, seeds)
 	source.intN = func(n int) int { return f.choose(self, n) }
 	f.sources[self] = source
 	f.sinks[self] = newRecordingSink()
 	f.watchers[self] = NewWatcher(source, f.sinks[self])
-	f.settingsWatchers[self] = NewFeed(fleetStore{f, self}, f, source, f.sinks[self])
-	source.Follow(f.watchers[self], f.settingsWatchers[self], "")
+	f.settingsWatchers[self] = NewSettingsWatcher(fleetStore{f, self}, f, source, f.sinks[self])
+	source.Attach(f.watchers[self], f.settingsWatchers[self], "")
 	f.watchers[self].Start(ctx)
 	f.settingsWatchers[self].Start(ctx)
 }
--- a/discovery/leaving_test.go
+++ b/discovery/leaving_test.go
@@ -144,7 +144,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					longest := measureLeaving(t, time.Duration(phase)*100*time.Millisecond, fault)
 					assert.Check(t, longest <= minLeavingBound, "a leaving server was observed after %s", longest)
-					assert.Check(t, longest <= NewsAge, "the maximum age of a view was exceeded: %s", longest)
+					assert.Check(t, longest <= MaxViewAge, "the maximum age of a view was exceeded: %s", longest)
 				})
 			}
 		})
--- a/discovery/ranking.go
+++ b/discovery/ranking.go
@@ -16,11 +16,11 @@
 )
 
 // Endpoint is the location of a server. It also identifies the process beside that server.
-type Place struct{ Address, DataCentre string }
+type Endpoint struct{ Address, DataCentre string }
 
 // candidate is an endpoint with the hash of its address, by which processes are ranked.
 type candidate struct {
-	Place
+	Endpoint
 	hash uint64
 }
 
@@ -45,7 +45,7 @@
 }
 
 // newRanking ranks the processes at the given endpoints.
-func newRanking(endpoints []Place) *ranking {
+func newRanking(endpoints []Endpoint) *ranking {
 	r := &ranking{byDataCentre: map[string][]candidate{}}
 	for _, endpoint := range endpoints {
 		r.byDataCentre[endpoint.DataCentre] = append(r.byDataCentre[endpoint.DataCentre], candidate{endpoint, xxhash.Sum64String(endpoint.Address)})
@@ -63,9 +63,9 @@
 // readers returns the processes that read the store: the first of each data centre, then the
 // second of each and so on, until there are enough for the fleet. Processes for which skip
 // returns true are left out.
-func (r *ranking) readers(skip func(address string) bool) []Place {
+func (r *ranking) readers(skip func(address string) bool) []Endpoint {
 	enough := max(minReaders, (r.size+processesPerReader-1)/processesPerReader)
-	readers := make([]Place, 0, enough)
+	readers := make([]Endpoint, 0, enough)
 	next := make(map[string]int, len(r.byDataCentre))
 	for len(readers) < enough {
 		round := r.nextRound(next, skip)
@@ -73,7 +73,7 @@
 			break
 		}
 		for _, c := range round[:min(len(round), enough-len(readers))] {
-			readers = append(readers, c.Place)
+			readers = append(readers, c.Endpoint)
 		}
 	}
 	return readers
--- a/discovery/ranking_test.go
+++ b/discovery/ranking_test.go
@@ -33,10 +33,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var endpoints []Place
+			var endpoints []Endpoint
 			for dc, size := range test.sizes {
 				for i := range size {
-					endpoints = append(endpoints, Place{fmt.Sprintf("10.%d.%d.%d:1", dc, i/250, i%250), fmt.Sprint("dc-", dc)})
+					endpoints = append(endpoints, Endpoint{fmt.Sprintf("10.%d.%d.%d:1", dc, i/250, i%250), fmt.Sprint("dc-", dc)})
 				}
 			}
 			elected := newRanking(endpoints).readers(skipNone)
@@ -55,9 +55,9 @@
 // TestElectSkips checks that a reader that does not answer is replaced by the next process of its
 // data centre.
 func TestElectSkips(t *testing.T) {
-	var endpoints []Place
+	var endpoints []Endpoint
 	for i := range 60 {
-		endpoints = append(endpoints, Place{fmt.Sprint("10.0.0.", i, ":1"), fmt.Sprint("dc-", i%2)})
+		endpoints = append(endpoints, Endpoint{fmt.Sprint("10.0.0.", i, ":1"), fmt.Sprint("dc-", i%2)})
 	}
 	r := newRanking(endpoints)
 	before := r.readers(skipNone)
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -27,7 +27,7 @@
 )
 
 // PlatformSink receives what a Reader reads from the platform.
-type Views interface {
+type PlatformSink interface {
 	// MayRead reports whether this process is a reader of the platform now.
 	MayRead(now time.Time) bool
 	// PlatformSeen records a successful read from the platform.
@@ -49,14 +49,14 @@
 type Reader struct {
 	config slatewind.ConfigSource
 	vms    slatewind.VMSource
-	views  Views
+	views  PlatformSink
 	meter  CallMeter
 	// revision is the newest revision that was read from the platform.
 	revision slatewind.Revision
 }
 
 // NewReader returns a Reader that delivers to views.
-func NewReader(config slatewind.ConfigSource, vms slatewind.VMSource, views Views, meter CallMeter) *Reader {
+func NewReader(config slatewind.ConfigSource, vms slatewind.VMSource, views PlatformSink, meter CallMeter) *Reader {
 	return &Reader{config: config, vms: vms, views: views, meter: meter}
 }
 
--- a/discovery/servers.go
+++ b/discovery/servers.go
@@ -66,7 +66,7 @@
 	w.readAll = false
 	newEra := w.eraChange.advance(w.revision, p.Revision)
 	for _, err := range p.EntryErrors {
-		w.sink.Finding(now, err)
+		w.sink.InvalidData(now, err)
 	}
 	if p.Complete {
 		w.removeUnlisted(now, p)
@@ -151,7 +151,7 @@
 // use, unless its own entry was removed before the older one was created, or the entry states no
 // start and so identifies no server.
 func (w *Watcher) putOlderStart(now time.Time, entry slatewind.ServerEntry, revision slatewind.Revision) {
-	w.sink.Finding(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
+	w.sink.InvalidData(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
 	server, ok := w.servers[entry.Name]
 	// The state gets the new revision, so that processes that applied the older entry receive the
 	// newer one again.
@@ -241,7 +241,7 @@
 // rejectWithoutStart handles an entry without a start where most servers state one: it identifies
 // no server, and the entry that it replaced no longer exists.
 func (w *Watcher) rejectWithoutStart(now time.Time, entry slatewind.ServerEntry, revision slatewind.Revision) {
-	w.sink.Finding(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
+	w.sink.InvalidData(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
 	w.entryRemoved(now, entry.Name, revision)
 }
 
@@ -372,17 +372,17 @@
 }
 
 // Endpoints returns the endpoints of all known servers.
-func (w *Watcher) Places() []Place {
+func (w *Watcher) Endpoints() []Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endpoints()
 }
 
 // endpoints is Endpoints with w.mu held.
-func (w *Watcher) endpoints() []Place {
-	endpoints := make([]Place, 0, len(w.servers))
+func (w *Watcher) endpoints() []Endpoint {
+	endpoints := make([]Endpoint, 0, len(w.servers))
 	for _, server := range w.servers {
-		endpoints = append(endpoints, Place{server.Address, server.DataCentre})
+		endpoints = append(endpoints, Endpoint{server.Address, server.DataCentre})
 	}
 	return endpoints
 }
@@ -398,7 +398,7 @@
 }
 
 // RemovesActive reports whether an update removes servers that were not reported to be leaving.
-func (w *Watcher) Startles(p slatewind.ServerUpdate) bool {
+func (w *Watcher) RemovesActive(p slatewind.ServerUpdate) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p.Complete {
--- a/discovery/servicefilter.go
+++ b/discovery/servicefilter.go
@@ -21,7 +21,7 @@
 // settings name. Settings and servers may arrive in any order, so other servers are held back
 // until settings name their service. A service that was named once stays accepted, since an older
 // version of the settings may arrive last; no requests are sent to it without a route.
-type Services struct {
+type ServiceFilter struct {
 	Sink
 
 	mu sync.Mutex
@@ -32,12 +32,12 @@
 }
 
 // NewServiceFilter returns a filter that forwards to sink. No service is accepted yet.
-func NewServices(sink Sink) *Services {
-	return &Services{Sink: sink, named: map[string]bool{}, waiting: map[string]slatewind.ServerEntry{}}
+func NewServiceFilter(sink Sink) *ServiceFilter {
+	return &ServiceFilter{Sink: sink, named: map[string]bool{}, waiting: map[string]slatewind.ServerEntry{}}
 }
 
 // Server implements Sink.
-func (s *Services) Server(now time.Time, entry slatewind.ServerEntry) {
+func (s *ServiceFilter) Server(now time.Time, entry slatewind.ServerEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.named[entry.Service] {
@@ -47,13 +47,13 @@
 	}
 	s.waiting[entry.Name] = entry
 	if len(s.named) > 0 {
-		s.Finding(now, &ServiceError{entry})
+		s.InvalidData(now, &ServiceError{entry})
 		s.Sink.ServerGone(now, entry.Name)
 	}
 }
 
 // ServerGone implements Sink.
-func (s *Services) ServerGone(now time.Time, name string) {
+func (s *ServiceFilter) ServerGone(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, held := s.waiting[name]; held {
@@ -65,7 +65,7 @@
 
 // ApplySettings accepts the services that fleet names, and forwards the servers that were held
 // back for them.
-func (s *Services) Name(now time.Time, fleet *slatewindv1.Fleet) {
+func (s *ServiceFilter) ApplySettings(now time.Time, fleet *slatewindv1.Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, service := range fleet.GetServices() {
@@ -83,7 +83,7 @@
 }
 
 // acceptRoute accepts the services of a route. s.mu is held.
-func (s *Services) acceptRoute(route *slatewindv1.Route) {
+func (s *ServiceFilter) acceptRoute(route *slatewindv1.Route) {
 	if service := route.GetService(); service != "" {
 		s.named[service] = true
 	}
--- a/discovery/servicefilter_test.go
+++ b/discovery/servicefilter_test.go
@@ -13,22 +13,22 @@
 // TestServiceFilter checks which servers are forwarded, for entries and settings in any order.
 func TestServiceFilter(t *testing.T) {
 	now := time.Unix(1000, 0)
-	type event func(s *Services)
+	type event func(s *ServiceFilter)
 	server := func(name, service string) event {
-		return func(s *Services) { s.Server(now, slatewind.ServerEntry{Name: name, Service: service}) }
+		return func(s *ServiceFilter) { s.Server(now, slatewind.ServerEntry{Name: name, Service: service}) }
 	}
-	gone := func(name string) event { return func(s *Services) { s.ServerGone(now, name) } }
+	gone := func(name string) event { return func(s *ServiceFilter) { s.ServerGone(now, name) } }
 	settings := func(names ...string) event {
-		return func(s *Services) {
+		return func(s *ServiceFilter) {
 			fleet := &slatewindv1.Fleet{}
 			for _, name := range names {
 				fleet.Services = append(fleet.Services, &slatewindv1.Service{Name: name})
 			}
-			s.Name(now, fleet)
+			s.ApplySettings(now, fleet)
 		}
 	}
-	split := func(s *Services) {
-		s.Name(now, &slatewindv1.Fleet{Routes: []*slatewindv1.Route{{Splits: []*slatewindv1.Split{{Service: "a"}, {Service: "b"}}}}})
+	split := func(s *ServiceFilter) {
+		s.ApplySettings(now, &slatewindv1.Fleet{Routes: []*slatewindv1.Route{{Splits: []*slatewindv1.Split{{Service: "a"}, {Service: "b"}}}}})
 	}
 	tests := map[string]struct {
 		events  []event
@@ -51,7 +51,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			sink := newRecordingSink()
-			s := NewServices(sink)
+			s := NewServiceFilter(sink)
 			for _, e := range test.events {
 				e(s)
 			}
--- a/discovery/settings.go
+++ b/discovery/settings.go
@@ -44,21 +44,21 @@
 	// them, or empty for the store, and took is the duration of the transfer.
 	Settings(now time.Time, settings *slatewind.PublishedSettings, from string, took time.Duration)
 	// InvalidData reports settings that could not be decoded.
-	Finding(now time.Time, err error)
+	InvalidData(now time.Time, err error)
 	// SettingsReachable reports that polls for settings started to fail, or succeed again.
-	SettingsReach(now time.Time, reachable bool, cause error)
+	SettingsReachable(now time.Time, reachable bool, cause error)
 	// PeerFetchFailed reports that a process could not be asked for its settings.
-	NotHanded(now time.Time, from string, cause error)
+	PeerFetchFailed(now time.Time, from string, cause error)
 }
 
 // SettingsWatcher keeps the operators' settings up to date. Settings may be large: a megabyte, on
 // a link of 10 Mbit/s. They are therefore transferred separately from server updates, which carry
 // only the version of the settings. The readers of a data centre poll the store for settings; the
 // other processes fetch them from any process that has them.
-type Feed struct {
+type SettingsWatcher struct {
 	store  slatewind.SettingsSource
 	peers  SettingsPeers
-	source *Share
+	source *SharedSource
 	sink   SettingsSink
 	// wake ends the wait of a process that has nothing to do.
 	wake chan struct{}
@@ -80,16 +80,16 @@
 
 // NewSettingsWatcher returns a watcher that has no settings yet. source determines whether this
 // process is a reader.
-func NewFeed(store slatewind.SettingsSource, peers SettingsPeers, source *Share, sink SettingsSink) *Feed {
-	return &Feed{store: store, peers: peers, source: source, sink: sink, wake: make(chan struct{}, 1)}
+func NewSettingsWatcher(store slatewind.SettingsSource, peers SettingsPeers, source *SharedSource, sink SettingsSink) *SettingsWatcher {
+	return &SettingsWatcher{store: store, peers: peers, source: source, sink: sink, wake: make(chan struct{}, 1)}
 }
 
 // Start polls for settings until ctx ends.
-func (w *Feed) Start(ctx context.Context) {
+func (w *SettingsWatcher) Start(ctx context.Context) {
 	go w.loop(ctx)
 }
 
-func (w *Feed) loop(ctx context.Context) {
+func (w *SettingsWatcher) loop(ctx context.Context) {
 	retry, unreachable := minRetry, false
 	for ctx.Err() == nil {
 		err := w.step(ctx)
@@ -98,7 +98,7 @@
 		}
 		if unreachable != (err != nil) {
 			unreachable = err != nil
-			w.sink.SettingsReach(time.Now(), !unreachable, err)
+			w.sink.SettingsReachable(time.Now(), !unreachable, err)
 		}
 		if unreachable {
 			w.waitForWork(ctx, time.After(jitter(retry)))
@@ -110,7 +110,7 @@
 }
 
 // waitForWork waits for a wake-up, for until, or for the end of ctx.
-func (w *Feed) waitForWork(ctx context.Context, until <-chan time.Time) {
+func (w *SettingsWatcher) waitForWork(ctx context.Context, until <-chan time.Time) {
 	select {
 	case <-w.wake:
 	case <-until:
@@ -122,7 +122,7 @@
 // starts polls the store, which is quicker than finding a peer that has settings. If the poll
 // brings no newer settings or fails, but a newer version is known, it is fetched from peers: a
 // store that was restored from a backup may lack settings that peers have.
-func (w *Feed) step(ctx context.Context) error {
+func (w *SettingsWatcher) step(ctx context.Context) error {
 	if wait, due := w.pollDue(); due {
 		err := w.pollStore(ctx, wait)
 		switch {
@@ -142,13 +142,13 @@
 
 // pollDue reports whether this process should poll the store now, and for how long the store may
 // hold the poll.
-func (w *Feed) pollDue() (wait time.Duration, due bool) {
+func (w *SettingsWatcher) pollDue() (wait time.Duration, due bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	once := w.pollOnce
 	w.pollOnce = false
 	switch {
-	case w.source.Reads():
+	case w.source.IsReader():
 		return settingsPollWait, true
 	case w.settings == nil:
 		return initialPollWait, true
@@ -160,7 +160,7 @@
 
 // PollOnce makes the watcher poll the store once. It is for the case that the readers, from which
 // this process would learn of newer settings, fail.
-func (w *Feed) Look() {
+func (w *SettingsWatcher) PollOnce() {
 	w.mu.Lock()
 	w.pollOnce = true
 	w.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // pollStore polls the store. A call that RestartPoll cancelled is not an error.
-func (w *Feed) pollStore(parent context.Context, wait time.Duration) error {
+func (w *SettingsWatcher) pollStore(parent context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	w.mu.Lock()
@@ -182,7 +182,7 @@
 	w.revision = w.revision.Later(update.Revision)
 	w.mu.Unlock()
 	if update.Err != nil {
-		w.sink.Finding(time.Now(), update.Err)
+		w.sink.InvalidData(time.Now(), update.Err)
 	}
 	if update.Settings != nil {
 		w.apply(update.Settings, "", time.Since(began))
@@ -197,7 +197,7 @@
 // from the store. In each round it queries a random process first: the process that reported the
 // version may have many requests to serve, and each process that has fetched the settings serves
 // others in turn.
-func (w *Feed) fetchFromPeers(ctx context.Context) error {
+func (w *SettingsWatcher) fetchFromPeers(ctx context.Context) error {
 	deadline := time.Now().Add(peerFetchTimeout)
 	for ctx.Err() == nil {
 		for _, address := range w.fetchCandidates() {
@@ -217,11 +217,11 @@
 }
 
 // fetchFrom queries one process for newer settings and reports whether it had any.
-func (w *Feed) fetchFrom(ctx context.Context, address string) bool {
+func (w *SettingsWatcher) fetchFrom(ctx context.Context, address string) bool {
 	began := time.Now()
 	settings, err := w.peers.Settings(ctx, address, w.Version())
 	if err != nil {
-		w.sink.NotHanded(time.Now(), address, err)
+		w.sink.PeerFetchFailed(time.Now(), address, err)
 		return false
 	}
 	if settings == nil {
@@ -233,7 +233,7 @@
 
 // fetchCandidates returns the processes to query for settings: a random one, from the same data
 // centre if possible, and the one that is known to have them.
-func (w *Feed) fetchCandidates() []string {
+func (w *SettingsWatcher) fetchCandidates() []string {
 	w.mu.Lock()
 	holder := w.holder
 	w.mu.Unlock()
@@ -249,7 +249,7 @@
 }
 
 // apply stores and delivers settings that are newer than the current ones.
-func (w *Feed) apply(settings *slatewind.PublishedSettings, from string, took time.Duration) {
+func (w *SettingsWatcher) apply(settings *slatewind.PublishedSettings, from string, took time.Duration) {
 	w.mu.Lock()
 	w.revision = w.revision.Later(settings.Revision)
 	newer := w.settings == nil || settings.Version > w.settings.Version
@@ -265,7 +265,7 @@
 
 // ObserveVersion records that settings of a version exist; holder is the address of a process
 // that has them, or empty.
-func (w *Feed) Heard(version uint64, holder string) {
+func (w *SettingsWatcher) ObserveVersion(version uint64, holder string) {
 	w.mu.Lock()
 	newer := version > w.newestVersion
 	if newer || version == w.newestVersion && holder != "" {
@@ -281,7 +281,7 @@
 }
 
 // Wake makes the watcher check at once whether there is something to do.
-func (w *Feed) Wake() {
+func (w *SettingsWatcher) Wake() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -290,7 +290,7 @@
 
 // RestartPoll cancels the current poll and starts a new one at once. It is called when the store
 // is reachable again, because the answer to an earlier poll may never arrive.
-func (w *Feed) Restart() {
+func (w *SettingsWatcher) RestartPoll() {
 	defer w.Wake()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -301,25 +301,25 @@
 
 // behind reports whether there may be newer settings than the current ones. That is so for a
 // process that has none yet.
-func (w *Feed) behind() bool {
+func (w *SettingsWatcher) behind() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.settings == nil || w.settings.Version < w.newestVersion
 }
 
 // outdated reports whether there are settings and a newer version is known to exist.
-func (w *Feed) outdated() bool { return w.behind() && w.Newest() != nil }
+func (w *SettingsWatcher) outdated() bool { return w.behind() && w.Current() != nil }
 
 // Current returns the newest settings that were received, or nil.
-func (w *Feed) Newest() *slatewind.PublishedSettings {
+func (w *SettingsWatcher) Current() *slatewind.PublishedSettings {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.settings
 }
 
 // Version returns the version of the current settings, or 0.
-func (w *Feed) Version() uint64 {
-	if settings := w.Newest(); settings != nil {
+func (w *SettingsWatcher) Version() uint64 {
+	if settings := w.Current(); settings != nil {
 		return settings.Version
 	}
 	return 0
--- a/discovery/sharedsource.go
+++ b/discovery/sharedsource.go
@@ -68,7 +68,7 @@
 //
 // A SharedSource serves one Watcher. Its methods must not be called concurrently, except for
 // IsReader and SetSeeds.
-type Share struct {
+type SharedSource struct {
 	// isReader reports whether this process reads the store on behalf of others.
 	isReader atomic.Bool
 
@@ -81,14 +81,14 @@
 	self       string
 	dataCentre string
 	// endpoints returns the endpoints of the known servers, ranking their order.
-	endpoints func() []Place
+	endpoints func() []Endpoint
 	ranking   func() *ranking
 	// removesActive reports whether an update removes servers that were not reported to be
 	// leaving. Their entries may be missing only because the store was down.
 	removesActive func(slatewind.ServerUpdate) bool
 	// settings is the settings watcher. Its version is sent to peers, and it observes the
 	// versions that peers report.
-	settings *Feed
+	settings *SettingsWatcher
 	// seeds are queried while no server is known.
 	seeds atomic.Pointer[[]string]
 
@@ -109,24 +109,24 @@
 
 // NewSharedSource returns a source for the process beside the server at self. Attach must be
 // called before its first use.
-func NewShare(store Store, peers Peers, self string, seeds []string) *Share {
-	s := &Share{store: store, peers: peers, self: self, skipUntil: map[string]time.Time{}, intN: rand.IntN}
+func NewSharedSource(store Store, peers Peers, self string, seeds []string) *SharedSource {
+	s := &SharedSource{store: store, peers: peers, self: self, skipUntil: map[string]time.Time{}, intN: rand.IntN}
 	s.SetSeeds(seeds)
 	return s
 }
 
 // Attach sets the watcher whose servers are the peers, the settings watcher and the data centre
 // of this process.
-func (s *Share) Follow(w *Watcher, settings *Feed, dataCentre string) {
+func (s *SharedSource) Attach(w *Watcher, settings *SettingsWatcher, dataCentre string) {
 	s.dataCentre = dataCentre
-	s.endpoints, s.ranking = w.Places, w.currentRanking
-	s.removesActive = w.Startles
+	s.endpoints, s.ranking = w.Endpoints, w.currentRanking
+	s.removesActive = w.RemovesActive
 	s.settings = settings
 }
 
 // Read implements slatewind.ServerSource. A process that starts reads the store, so that it has
 // the newest state; if the store is unreachable, it queries a peer.
-func (s *Share) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
+func (s *SharedSource) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Read(ctx)
 	p.Age = s.clock.Since(began)
@@ -140,7 +140,7 @@
 }
 
 // Changes implements slatewind.ServerSource.
-func (s *Share) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
+func (s *SharedSource) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	elected := s.electedReaders(time.Now())
 	readers := s.nearReaders(elected)
 	if s.setReader(slices.Contains(readers, s.self) || len(readers) == 0) {
@@ -159,14 +159,14 @@
 	if err == nil && !p.Relayed {
 		// The store is healthy and the reader's update is old: query another reader from now on.
 		s.skipUntil[reader] = time.Now().Add(peerRetryDelay)
-		s.settings.Look()
+		s.settings.PollOnce()
 	}
 	return p, err
 }
 
 // queryReader queries a reader. It reports whether the reader answered, and whether its update is
 // as current as the store's.
-func (s *Share) queryReader(ctx context.Context, reader string, after slatewind.Revision) (p slatewind.ServerUpdate, answered, fresh bool) {
+func (s *SharedSource) queryReader(ctx context.Context, reader string, after slatewind.Revision) (p slatewind.ServerUpdate, answered, fresh bool) {
 	pinged := s.pingIfDue(ctx, time.Now())
 	p, answered = s.queryPeer(ctx, reader, after)
 	s.awaitPing(pinged)
@@ -182,7 +182,7 @@
 }
 
 // setReader records whether this process is a reader, and returns it.
-func (s *Share) setReader(isReader bool) bool {
+func (s *SharedSource) setReader(isReader bool) bool {
 	if s.isReader.Swap(isReader) != isReader {
 		s.settings.Wake()
 	}
@@ -191,7 +191,7 @@
 
 // pingIfDue starts a check whether the store is reachable again if it was not and a check is due.
 // The check runs concurrently with a query to a peer. The channel is nil if none is due.
-func (s *Share) pingIfDue(ctx context.Context, now time.Time) <-chan error {
+func (s *SharedSource) pingIfDue(ctx context.Context, now time.Time) <-chan error {
 	interval := pingInterval
 	if s.outage {
 		interval = outagePingInterval
@@ -203,7 +203,7 @@
 }
 
 // ping checks whether this process can reach the store. The channel receives the result.
-func (s *Share) ping(ctx context.Context) <-chan error {
+func (s *SharedSource) ping(ctx context.Context) <-chan error {
 	result := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, pingTimeout)
@@ -214,24 +214,24 @@
 }
 
 // awaitPing waits for the result of a ping, if one was started.
-func (s *Share) awaitPing(result <-chan error) {
+func (s *SharedSource) awaitPing(result <-chan error) {
 	if result != nil {
 		s.recordContact(<-result)
 	}
 }
 
 // recordContact records the result of a call to the store.
-func (s *Share) recordContact(err error) {
+func (s *SharedSource) recordContact(err error) {
 	before := s.unreachable
 	s.lastContact = time.Now()
 	s.unreachable = err != nil && !errors.Is(err, slatewind.ErrHistoryGone)
 	if before && !s.unreachable {
-		s.settings.Restart()
+		s.settings.RestartPoll()
 	}
 }
 
 // queryStore queries the store. If that fails, a peer may have a later revision.
-func (s *Share) queryStore(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
+func (s *SharedSource) queryStore(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Changes(ctx, after)
 	s.recordContact(err)
@@ -249,7 +249,7 @@
 // setDirectBackoff determines when a process that is not a reader may query the store again.
 // There is no backoff after a call that was neither failed nor slow: the store can handle the
 // load, and the view must not become old.
-func (s *Share) setDirectBackoff(healthy bool) {
+func (s *SharedSource) setDirectBackoff(healthy bool) {
 	if healthy {
 		s.directBackoff, s.nextDirect = 0, time.Time{}
 		return
@@ -259,13 +259,13 @@
 }
 
 // electedReaders returns the processes that read the store.
-func (s *Share) electedReaders(now time.Time) []Place {
+func (s *SharedSource) electedReaders(now time.Time) []Endpoint {
 	return s.ranking().readers(func(address string) bool { return now.Before(s.skipUntil[address]) })
 }
 
 // nearReaders returns the readers that this process queries: those of its own data centre or, if
 // there are none, all.
-func (s *Share) nearReaders(elected []Place) []string {
+func (s *SharedSource) nearReaders(elected []Endpoint) []string {
 	if near := addresses(elected, s.dataCentre); len(near) > 0 {
 		return near
 	}
@@ -274,7 +274,7 @@
 
 // exchange exchanges reports of unhealthy servers with another reader, concurrently with the call
 // to the store.
-func (s *Share) exchange(ctx context.Context, elected []Place) {
+func (s *SharedSource) exchange(ctx context.Context, elected []Endpoint) {
 	others := slices.DeleteFunc(addresses(elected, ""), s.isSelf)
 	if len(others) == 0 {
 		return
@@ -289,7 +289,7 @@
 
 // addresses returns the addresses of the endpoints in a data centre, or of all if dataCentre is
 // empty.
-func addresses(endpoints []Place, dataCentre string) []string {
+func addresses(endpoints []Endpoint, dataCentre string) []string {
 	var list []string
 	for _, endpoint := range endpoints {
 		if dataCentre == "" || endpoint.DataCentre == dataCentre {
@@ -300,7 +300,7 @@
 }
 
 // queryPeer queries one process; ok reports that it answered and has data.
-func (s *Share) queryPeer(ctx context.Context, address string, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
+func (s *SharedSource) queryPeer(ctx context.Context, address string, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	began := s.clock.Now()
@@ -309,7 +309,7 @@
 		s.skipUntil[address] = time.Now().Add(peerRetryDelay)
 		return p, false
 	}
-	s.settings.Heard(p.Version, address)
+	s.settings.ObserveVersion(p.Version, address)
 	p.Relayed, p.From = true, address
 	// The peer may have been paused after it determined the age of its update.
 	p.Age += s.clock.Since(began)
@@ -317,7 +317,7 @@
 }
 
 // queryAnyPeer queries a random process.
-func (s *Share) queryAnyPeer(ctx context.Context, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
+func (s *SharedSource) queryAnyPeer(ctx context.Context, after slatewind.Revision) (p slatewind.ServerUpdate, ok bool) {
 	others := s.exceptSelf(addresses(s.endpoints(), ""))
 	if len(others) == 0 {
 		return p, false
@@ -329,7 +329,7 @@
 
 // otherProcesses returns the addresses of the other processes in this data centre or, if there
 // are none, of all others.
-func (s *Share) otherProcesses() []string {
+func (s *SharedSource) otherProcesses() []string {
 	endpoints := s.endpoints()
 	if near := slices.DeleteFunc(addresses(endpoints, s.dataCentre), s.isSelf); len(near) > 0 {
 		return near
@@ -339,7 +339,7 @@
 
 // exceptSelf returns the given addresses without that of this process, or the seeds if none are
 // left.
-func (s *Share) exceptSelf(all []string) []string {
+func (s *SharedSource) exceptSelf(all []string) []string {
 	if others := slices.DeleteFunc(all, s.isSelf); len(others) > 0 {
 		return others
 	}
@@ -348,12 +348,12 @@
 
 // SetSeeds sets the addresses that are queried while no server is known. It may be called
 // concurrently.
-func (s *Share) SetSeeds(seeds []string) { s.seeds.Store(&seeds) }
+func (s *SharedSource) SetSeeds(seeds []string) { s.seeds.Store(&seeds) }
 
-func (s *Share) isSelf(address string) bool { return address == s.self }
+func (s *SharedSource) isSelf(address string) bool { return address == s.self }
 
 // IsReader reports whether this process reads the store on behalf of others. It may be called
 // concurrently.
-func (s *Share) Reads() bool {
+func (s *SharedSource) IsReader() bool {
 	return s.isReader.Load()
 }
--- a/discovery/sharedsource_test.go
+++ b/discovery/sharedsource_test.go
@@ -15,7 +15,7 @@
 		"two processes read the store": func(t *testing.T, _ context.Context, f *fleet) {
 			assert.Equal(t, len(f.callers()), minReaders)
 			for name, source := range f.sources {
-				assert.Equal(t, source.Reads(), slices.Contains(f.callers(), name), name)
+				assert.Equal(t, source.IsReader(), slices.Contains(f.callers(), name), name)
 			}
 		},
 		"only readers exchange reports": func(t *testing.T, _ context.Context, f *fleet) {
@@ -23,7 +23,7 @@
 				f.mu.Lock()
 				exchanges := f.exchanges[name]
 				f.mu.Unlock()
-				assert.Equal(t, exchanges > 0, source.Reads(), "%s: %d", name, exchanges)
+				assert.Equal(t, exchanges > 0, source.IsReader(), "%s: %d", name, exchanges)
 			}
 		},
 		"all receive settings in time": func(t *testing.T, _ context.Context, f *fleet) {
--- a/discovery/suspended_test.go
+++ b/discovery/suspended_test.go
@@ -42,9 +42,9 @@
 	suspended += sleep
 	assert.Assert(t, w.Since(at(1)).Age >= sleep, "%s", w.Since(at(1)).Age)
 
-	s := NewShare(nil, suspendingPeers{&suspended, sleep}, "self", nil)
+	s := NewSharedSource(nil, suspendingPeers{&suspended, sleep}, "self", nil)
 	s.clock = suspendedFor(&suspended)
-	s.settings = NewFeed(nil, nil, s, nil)
+	s.settings = NewSettingsWatcher(nil, nil, s, nil)
 	p, ok := s.queryPeer(t.Context(), "reader", at(1))
 	assert.Assert(t, ok)
 	assert.Assert(t, p.Age >= sleep, "%s", p.Age)
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -30,7 +30,7 @@
 	// after peerPollInterval, it may time out, and then the store is queried. A leaving server
 	// gets no new requests once the process beside it knows, so this must be below the time that
 	// operators allow, which is at least two seconds.
-	NewsAge = maxPeerAge + peerPollInterval + peerTimeout + storeLatency
+	MaxViewAge = maxPeerAge + peerPollInterval + peerTimeout + storeLatency
 	// minRetry and maxRetry bound the backoff after a failed call.
 	minRetry = 100 * time.Millisecond
 	maxRetry = 400 * time.Millisecond
@@ -56,19 +56,19 @@
 	// ServerGone reports that a server was removed.
 	ServerGone(now time.Time, name string)
 	// InvalidData reports an entry that cannot be decoded or is not used.
-	Finding(now time.Time, err error)
+	InvalidData(now time.Time, err error)
 	// Restored reports that the source returned to an earlier state: before is the revision known
 	// until then, since the revision that it has now.
 	Restored(now time.Time, before, since slatewind.Revision)
 	// SourceReachable reports that the source became unreachable or reachable again.
-	Reach(now time.Time, reachable bool, cause error)
+	SourceReachable(now time.Time, reachable bool, cause error)
 	// SlowPoll reports a poll that took long.
-	Slow(poll SlowNews)
+	SlowPoll(poll SlowPoll)
 }
 
 // SlowPoll describes a poll that took long. Its fields allow to distinguish a slow source from a
 // long transfer and from an old view.
-type SlowNews struct {
+type SlowPoll struct {
 	// From is the address of the peer that answered, or empty for the store.
 	From string
 	// Took is the duration of the poll.
@@ -188,7 +188,7 @@
 		return 0, err
 	}
 	if took := now.Sub(began); took >= slowPollTime && !after.IsZero() {
-		w.sink.Slow(SlowNews{From: p.From, Took: took, Age: w.clock.Since(w.confirmedAt), Servers: len(p.Servers), Removed: len(p.Removed)})
+		w.sink.SlowPoll(SlowPoll{From: p.From, Took: took, Age: w.clock.Since(w.confirmedAt), Servers: len(p.Servers), Removed: len(p.Removed)})
 	}
 	if p.PlatformUnreachable {
 		w.markUnreachable(now, errOnlyPeers)
@@ -242,13 +242,13 @@
 	}
 	w.unreachable = false
 	w.reachableSince = now
-	w.sink.Reach(now, true, nil)
+	w.sink.SourceReachable(now, true, nil)
 }
 
 // markUnreachable records that the store is unreachable. w.mu is held.
 func (w *Watcher) markUnreachable(now time.Time, err error) {
 	if !w.unreachable {
-		w.sink.Reach(now, false, err)
+		w.sink.SourceReachable(now, false, err)
 	}
 	w.unreachable = true
 }
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -21,7 +21,7 @@
 	reachable []bool
 	// settingsReachable holds the changes of whether settings could be polled.
 	settingsReachable []bool
-	slowPolls         []SlowNews
+	slowPolls         []SlowPoll
 	// leaving holds when each server was first reported to be leaving.
 	leaving map[string]time.Time
 }
@@ -41,20 +41,20 @@
 	}
 }
 func (s *recordingSink) ServerGone(_ time.Time, name string) { delete(s.servers, name) }
-func (s *recordingSink) Finding(time.Time, error)            { s.invalid++ }
-func (s *recordingSink) Reach(_ time.Time, reachable bool, _ error) {
+func (s *recordingSink) InvalidData(time.Time, error)        { s.invalid++ }
+func (s *recordingSink) SourceReachable(_ time.Time, reachable bool, _ error) {
 	s.reachable = append(s.reachable, reachable)
 }
 
-func (s *recordingSink) SettingsReach(_ time.Time, reachable bool, _ error) {
+func (s *recordingSink) SettingsReachable(_ time.Time, reachable bool, _ error) {
 	s.settingsReachable = append(s.settingsReachable, reachable)
 }
 
 func (s *recordingSink) Restored(time.Time, slatewind.Revision, slatewind.Revision) {}
 
-func (s *recordingSink) NotHanded(time.Time, string, error) {}
+func (s *recordingSink) PeerFetchFailed(time.Time, string, error) {}
 
-func (s *recordingSink) Slow(poll SlowNews) { s.slowPolls = append(s.slowPolls, poll) }
+func (s *recordingSink) SlowPoll(poll SlowPoll) { s.slowPolls = append(s.slowPolls, poll) }
 
 func (s *recordingSink) names() []string {
 	var names []string
