--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -49,15 +49,15 @@
 type Reader struct {
 	config slatewind.ConfigSource
 	vms    slatewind.VMSource
-	views  PlatformSink
+	sink   PlatformSink
 	meter  CallMeter
 	// revision is the newest revision that was read from the platform.
 	revision slatewind.Revision
 }
 
-// NewReader returns a Reader that delivers to views.
-func NewReader(config slatewind.ConfigSource, vms slatewind.VMSource, views PlatformSink, meter CallMeter) *Reader {
-	return &Reader{config: config, vms: vms, views: views, meter: meter}
+// NewReader returns a Reader that delivers to sink.
+func NewReader(config slatewind.ConfigSource, vms slatewind.VMSource, sink PlatformSink, meter CallMeter) *Reader {
+	return &Reader{config: config, vms: vms, sink: sink, meter: meter}
 }
 
 // Start reads the platform once, and then as long as this process is a reader, until ctx ends.
@@ -67,12 +67,12 @@
 }
 
 // loop calls read until it succeeds once, and then repeatedly while this process is a reader.
-func (r *Reader) loop(ctx context.Context, interval time.Duration, look func(context.Context) error) {
+func (r *Reader) loop(ctx context.Context, interval time.Duration, read func(context.Context) error) {
 	backoff := minBackoff
 	for first := true; ctx.Err() == nil; {
 		wait := interval
-		if first || r.views.MayRead(time.Now()) {
-			err := look(ctx)
+		if first || r.sink.MayRead(time.Now()) {
+			err := read(ctx)
 			if err != nil {
 				wait = jitter(backoff)
 				backoff = min(2*backoff, maxBackoff)
@@ -112,10 +112,10 @@
 		return err
 	}
 	now := time.Now()
-	r.views.PlatformSeen(now)
+	r.sink.PlatformSeen(now)
 	if file.Revision != r.revision {
 		r.revision = file.Revision
-		r.views.Offer(now, "platform", file.Revision, file.Text)
+		r.sink.Offer(now, "platform", file.Revision, file.Text)
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 		return err
 	}
 	now := time.Now()
-	r.views.PlatformSeen(now)
-	r.views.Listed(now, vms)
+	r.sink.PlatformSeen(now)
+	r.sink.Listed(now, vms)
 	return nil
 }
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -66,7 +66,7 @@
 	SlowPoll(poll SlowPoll)
 }
 
-// SlowPoll describes a poll that took long. Its fields allow to distinguish a slow source from a
+// SlowPoll describes a poll that took long. Its fields distinguish a slow source from a
 // long transfer and from an old view.
 type SlowPoll struct {
 	// From is the address of the peer that answered, or empty for the store.
