--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,13 +1,19 @@
-// Package admission counts the slots of one server and decides which request
-// gets the next free one.
+// Package admission limits the concurrency of one server: it counts the slots in
+// use and decides which request gets the next free one.
 //
-// A request that cannot start in time is refused at once, with the time after
-// which a slot is likely: a quick refusal can still be served elsewhere, a late
-// one cannot. The queue is short for the same reason. Interactive requests go
-// before background ones, which get only spare slots; then what belongs to work
-// that has begun elsewhere goes first, but passes each other item only a few
-// times; then the lower rank goes first; and among customers the one with the fewest requests in slots, so that
-// one customer's launch does not starve the rest.
+// A request that cannot start in time is refused immediately, together with the
+// time after which a slot is likely to be free: a request that is refused early
+// can still be served by another server, one that is refused late cannot. The
+// queue is short for the same reason.
+//
+// Queued requests are ordered by these criteria:
+//
+//  1. Interactive requests go before background ones, which get only spare slots.
+//  2. Requests that belong to work already begun on another server go first, but
+//     overtake each other request only a few times.
+//  3. Requests of a lower rank go first.
+//  4. Requests of the customer with the fewest requests in slots go first, so that
+//     a burst of one customer does not starve the others.
 package admission
 
 import (
@@ -18,41 +24,46 @@
 	"slatewind.example/slatewind"
 )
 
-// queuePerSlot bounds the queue. Two waiting for each slot keep the server
-// busy between the replies of its sidecar and add at most two service times.
+// queuePerSlot limits the queue to this many items for each slot. Two keep the
+// server busy between the replies of its sidecar and add a wait of at most two
+// service times.
 const queuePerSlot = 2
 
-// serviceWeight is the weight of the newest service time in their mean.
-const serviceWeight = 0.1
+// averageWeight is the weight of the newest sample in the moving averages of the
+// service time and of the share of queued items that start.
+const averageWeight = 0.1
 
-// minRetryAfter keeps refused callers from coming back at once.
+// minRetryAfter prevents refused callers from retrying immediately.
 const minRetryAfter = 100 * time.Millisecond
 
-// Item is one request at the door.
+// Item is one request that asks for a slot.
 type Item struct {
 	ID       string
 	Priority slatewind.Priority
 	Customer string
-	// Deadline is when the request must have its answer.
+	// Deadline is the time by which the request must be answered.
 	Deadline time.Time
 	// Rank orders requests of one priority; lower goes first.
 	Rank uint32
-	// Begun says that the item belongs to work that another server has begun and
-	// that would be lost if the item were refused.
+	// Begun is set if the item belongs to work that has begun on another server and
+	// would be lost if the item were refused.
 	Begun bool
-	// Beyond says that the item may start although no slot is free, if it is the only
-	// one to do so: it tries a server whose slots are held by requests that hang.
+	// Beyond allows the item to start in one slot more than the server has. At most
+	// one item exceeds the slots at a time: it probes a server all of whose slots are
+	// held by hanging requests.
 	Beyond bool
-	// StartBy is when waiting for a slot is no longer worth it; zero is never.
+	// StartBy is the time after which the item should no longer wait for a slot; zero
+	// means no limit.
 	StartBy time.Time
 }
 
-// late reports whether an item that starts at a time comes too late.
+// late reports whether an item that starts at the given time would start after
+// StartBy or, at the mean service time, end after its deadline.
 func (it Item) late(start time.Time, service time.Duration) bool {
 	return start.Add(service).After(it.Deadline) || !it.StartBy.IsZero() && start.After(it.StartBy)
 }
 
-// Action says what becomes of an item.
+// Action is what happens to an item.
 type Action string
 
 // Actions for items.
@@ -62,7 +73,7 @@
 	ActionRefuse Action = "refuse"
 )
 
-// Decision is an action with its reason.
+// Decision is the action for an item. Reason and RetryAfter are set for refusals.
 type Decision struct {
 	Item       Item
 	Action     Action
@@ -70,40 +81,41 @@
 	RetryAfter time.Duration
 }
 
-// Server is the door of one server. It is not safe for use by several
-// goroutines; its host guards it.
+// Server controls the admission of requests to one server. It is not safe for
+// concurrent use; the caller must hold a lock.
 type Server struct {
 	slots int
 	inUse int
-	// started holds the ids of the items that are in slots, forgotten those of items that
-	// were in slots of a server that ended.
-	started   map[string]bool
-	forgotten map[string]bool
-	// running counts the slots of each customer that has any.
+	// started holds the IDs of the items that are in slots, replaced the IDs of those
+	// that were in slots when the server was replaced.
+	started  map[string]bool
+	replaced map[string]bool
+	// running counts the slots in use by customer, without entries for zero.
 	running map[string]int
-	queue   []waiting
-	// service is the mean service time.
+	// queue holds the waiting items in the order of their arrival.
+	queue []queuedItem
+	// service is the moving average of service times.
 	service time.Duration
-	// startShare is the share of the queued items that waited for their slot; the
-	// others got one elsewhere first.
+	// startShare is the moving average of the share of queued items that got their
+	// slot here; the others were removed, since another server had a slot earlier.
 	startShare float64
 }
 
-// NewServer returns the door of a server with so many slots.
+// NewServer returns the admission control of a server with the given number of slots.
 func NewServer(slots int) *Server {
-	return &Server{slots: slots, started: map[string]bool{}, forgotten: map[string]bool{}, running: map[string]int{}, startShare: 1}
+	return &Server{slots: slots, started: map[string]bool{}, replaced: map[string]bool{}, running: map[string]int{}, startShare: 1}
 }
 
-// SetSlots changes the number of slots; what runs goes on.
+// SetSlots changes the number of slots. Running requests are not affected.
 func (s *Server) SetSlots(slots int) {
 	s.slots = slots
 }
 
-// Forget forgets what is in slots, and how long it takes, for another server that begins in
-// this one's place. Whatever waits goes on waiting.
+// Forget frees all slots and clears the mean service time, for use when a new server
+// replaces this one. The queue is kept.
 func (s *Server) Forget() {
 	s.inUse, s.service = 0, 0
-	maps.Copy(s.forgotten, s.started)
+	maps.Copy(s.replaced, s.started)
 	clear(s.started)
 	clear(s.running)
 }
@@ -117,10 +129,10 @@
 // Slots returns the number of slots.
 func (s *Server) Slots() int { return s.slots }
 
-// Mean returns the mean service time.
+// Mean returns the mean service time, or zero before the first request has ended.
 func (s *Server) Mean() time.Duration { return s.service }
 
-// spare is how many slots background requests must leave free.
+// spare returns the number of slots that background requests must leave free.
 func (s *Server) spare() int {
 	if s.slots < 2 {
 		return 0
@@ -128,11 +140,11 @@
 	return max(1, s.slots/4)
 }
 
-// Offer decides about a new item. Further decisions concern items that had to
-// make room for it.
+// Offer decides about a new item. If another item has to leave the queue to make
+// room, its refusal comes first in the result.
 func (s *Server) Offer(now time.Time, it Item) []Decision {
-	if s.fits(it) && (it.Beyond || !s.othersGoFirst(it)) {
-		s.notePassed(it, len(s.queue))
+	if s.fits(it) && (it.Beyond || !s.mustQueue(it)) {
+		s.countOvertaken(it, len(s.queue))
 		s.start(it)
 		return []Decision{{Item: it, Action: ActionStart}}
 	}
@@ -140,7 +152,7 @@
 		return []Decision{s.refuse(it, "no slot will be free in time")}
 	}
 	if len(s.queue) < s.slots*queuePerSlot {
-		s.queue = append(s.queue, waiting{Item: it})
+		s.queue = append(s.queue, queuedItem{Item: it})
 		return []Decision{{Item: it, Action: ActionQueue}}
 	}
 	victim := s.victim(it)
@@ -148,15 +160,16 @@
 		return []Decision{s.refuse(it, "the queue is full")}
 	}
 	refused := s.refuse(s.take(victim), "the queue is full and another customer or priority goes first")
-	s.queue = append(s.queue, waiting{Item: it})
+	s.queue = append(s.queue, queuedItem{Item: it})
 	return []Decision{refused, {Item: it, Action: ActionQueue}}
 }
 
-// Done notes the end of a started item after the given service time and
-// returns what starts or must be refused now. Items that were forgotten free no slot.
+// Done records the end of a started item after the given service time and returns the
+// decisions about items that start or are refused as a result. Items that started before
+// a Forget free no slot.
 func (s *Server) Done(now time.Time, it Item, service time.Duration) []Decision {
-	if s.forgotten[it.ID] {
-		delete(s.forgotten, it.ID)
+	if s.replaced[it.ID] {
+		delete(s.replaced, it.ID)
 		return s.Advance(now)
 	}
 	delete(s.started, it.ID)
@@ -168,11 +181,11 @@
 	if s.service == 0 {
 		s.service = service
 	}
-	s.service += time.Duration(serviceWeight * float64(service-s.service))
+	s.service += time.Duration(averageWeight * float64(service-s.service))
 	return s.Advance(now)
 }
 
-// Advance refuses items whose time is over and fills free slots.
+// Advance refuses queued items that can no longer start in time and fills free slots.
 func (s *Server) Advance(now time.Time) []Decision {
 	decisions := s.expire(now)
 	for {
@@ -181,33 +194,33 @@
 			return decisions
 		}
 		it := s.take(i)
-		s.notePassed(it, i)
-		s.startShare += serviceWeight * (1 - s.startShare)
+		s.countOvertaken(it, i)
+		s.startShare += averageWeight * (1 - s.startShare)
 		s.start(it)
 		decisions = append(decisions, Decision{Item: it, Action: ActionStart})
 	}
 }
 
-// Remove takes a waiting item out of the queue; it reports whether it waited.
+// Remove removes a waiting item from the queue and reports whether it was there.
 func (s *Server) Remove(id string) bool {
 	for i, it := range s.queue {
 		if it.ID == id {
 			s.take(i)
-			s.startShare -= serviceWeight * s.startShare
+			s.startShare -= averageWeight * s.startShare
 			return true
 		}
 	}
 	return false
 }
 
-// take takes the item at an index out of the queue.
+// take removes the item at index i from the queue and returns it.
 func (s *Server) take(i int) Item {
 	it := s.queue[i].Item
 	s.queue = append(s.queue[:i], s.queue[i+1:]...)
 	return it
 }
 
-// RefuseAll empties the queue, for a server that leaves.
+// RefuseAll refuses all waiting items, for use when the server is leaving.
 func (s *Server) RefuseAll(reason string) []Decision {
 	decisions := make([]Decision, 0, len(s.queue))
 	for _, it := range s.queue {
@@ -248,7 +261,8 @@
 	return decisions
 }
 
-// refuse computes when a slot is likely: when all that waits now has run.
+// refuse returns a refusal of the item. A slot is likely to be free once everything
+// that is waiting now has run, which determines RetryAfter.
 func (s *Server) refuse(it Item, reason string) Decision {
 	rounds := math.Ceil(float64(len(s.queue)+1) / float64(max(s.slots, 1)))
 	after := max(time.Duration(rounds*float64(s.service)), minRetryAfter)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -15,8 +15,9 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// TestSlotsAreExact offers and ends random requests: slots are never exceeded,
-// every item gets one final decision, and background leaves a slot free.
+// TestSlotsAreExact offers and ends random requests: the slots and the queue never
+// exceed their limits, every item gets one final decision, and background requests
+// leave a slot free.
 func TestSlotsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
@@ -26,7 +27,7 @@
 		waiting := map[string]bool{}
 		background := 0
 		serial := 0
-		carryOut := func(decisions []admission.Decision) {
+		apply := func(decisions []admission.Decision) {
 			for _, d := range decisions {
 				switch d.Action {
 				case admission.ActionStart:
@@ -46,7 +47,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				serial++
-				carryOut(s.Offer(now, admission.Item{
+				apply(s.Offer(now, admission.Item{
 					ID:       fmt.Sprint(serial),
 					Priority: rapid.SampledFrom([]slatewind.Priority{slatewind.PriorityInteractive, slatewind.PriorityBackground}).Draw(t, "priority"),
 					Customer: fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "customer")),
@@ -60,7 +61,7 @@
 						if it.Priority == slatewind.PriorityBackground {
 							background--
 						}
-						carryOut(s.Done(now, it, 50*time.Millisecond))
+						apply(s.Done(now, it, 50*time.Millisecond))
 						return
 					}
 				}
@@ -68,7 +69,7 @@
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
-				carryOut(s.Advance(now))
+				apply(s.Advance(now))
 			},
 			"": func(t *rapid.T) {
 				assert.Equal(t, s.InUse(), len(running))
@@ -81,8 +82,9 @@
 	})
 }
 
-// TestOneCustomerDoesNotStarveTheRest: a customer floods the door before another
-// one comes; the other's request goes first when a slot is free.
+// TestOneCustomerDoesNotStarveTheRest guards against a customer that fills the queue
+// with a burst of requests: a request of another customer evicts one of them and gets
+// the next free slot.
 func TestOneCustomerDoesNotStarveTheRest(t *testing.T) {
 	s := admission.NewServer(2)
 	deadline := begin.Add(time.Second)
@@ -103,8 +105,8 @@
 	assert.Equal(t, started[0].Item.ID, "other")
 }
 
-// TestHopelessRequestsAreRefusedAtOnce: a request that cannot start in time gets
-// its answer now, with when to come back.
+// TestHopelessRequestsAreRefusedAtOnce checks that a request that cannot start in time
+// is refused immediately, with the time after which to retry.
 func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
 	s := admission.NewServer(1)
 	first := admission.Item{ID: "1", Deadline: begin.Add(time.Hour)}
@@ -116,36 +118,38 @@
 	assert.Equal(t, decisions[0].RetryAfter, 300*time.Millisecond)
 }
 
-// TestPlacesThatAreGivenUp: where most of what waits gets its slot elsewhere, a
-// newcomer is not refused for a queue that will not be there.
-func TestPlacesThatAreGivenUp(t *testing.T) {
+// TestRemovedItemsShortenEstimatedWait guards against needless refusals: where most
+// queued items are removed, since they got a slot on another server, the queue ahead of
+// a new item shrinks faster than slots come free.
+func TestRemovedItemsShortenEstimatedWait(t *testing.T) {
 	const service = 100 * time.Millisecond
 	for name, test := range map[string]struct {
-		givenUp int
+		removed int
 		action  admission.Action
 	}{
-		"none is given up":  {0, admission.ActionRefuse},
-		"most are given up": {30, admission.ActionQueue},
+		"none is removed":  {0, admission.ActionRefuse},
+		"most are removed": {30, admission.ActionQueue},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, held := full(1)
 			s.Done(begin, held[0], service)
 			s.Offer(begin, held[0])
-			for i := range test.givenUp {
+			for i := range test.removed {
 				id := fmt.Sprint("given-up-", i)
 				s.Offer(begin, admission.Item{ID: id, Deadline: begin.Add(time.Hour)})
 				assert.Assert(t, s.Remove(id))
 			}
 			s.Offer(begin, admission.Item{ID: "waits", Deadline: begin.Add(time.Hour)})
-			// Two service times of waiting and its own are more than it has.
+			// Waiting for two service times and running for one exceeds the deadline.
 			decisions := s.Offer(begin, admission.Item{ID: "id", Deadline: begin.Add(5 * service / 2)})
 			assert.Equal(t, decisions[0].Action, test.action)
 		})
 	}
 }
 
-// TestForget: another server in this one's place has all slots, whatever the earlier one's
-// requests do; what waits gets them.
+// TestForget checks that a replacement of the server begins with all slots free, that
+// waiting items get them, and that requests of the replaced server free none when they
+// end.
 func TestForget(t *testing.T) {
 	s := admission.NewServer(2)
 	items := make([]admission.Item, 4)
@@ -162,7 +166,7 @@
 	for _, it := range items[:2] {
 		assert.Equal(t, len(s.Done(begin, it, time.Second)), 0)
 	}
-	assert.Equal(t, s.InUse(), 2, "requests of the earlier server free no slot")
+	assert.Equal(t, s.InUse(), 2, "requests of the replaced server free no slot")
 	s.Done(begin, items[2], time.Second)
 	assert.Equal(t, s.InUse(), 1)
 }
--- a/admission/order.go
+++ b/admission/order.go
@@ -6,72 +6,73 @@
 	"slatewind.example/slatewind"
 )
 
-// waiting is an item in the queue.
-type waiting struct {
+// queuedItem is an item in the queue.
+type queuedItem struct {
 	Item
-	// passed counts the begun items that came later and were started before it.
-	passed int
+	// overtaken counts the begun items that arrived later and started earlier.
+	overtaken int
 }
 
-// level orders the waiting items before their ranks do; lower goes first.
+// level orders the waiting items; lower goes first. Rank applies within a level.
 type level int
 
 const (
-	// levelPassed: others were preferred often enough.
-	levelPassed level = iota
-	// levelBegun: a refusal would waste what was already done elsewhere.
+	// levelOvertaken is for items that were overtaken maxOvertaken times.
+	levelOvertaken level = iota
+	// levelBegun is for items whose refusal would waste work done on another server.
 	levelBegun
 	levelNew
 	levelBackground
 )
 
-// mostPassed is how often begun items may pass another one: they delay it by a
-// few service times of theirs and never starve it.
-const mostPassed = 2
+// maxOvertaken is how many times begun items may overtake another item: they delay it by
+// a few of their service times and never starve it.
+const maxOvertaken = 2
 
 // levelOf returns the level of a waiting item.
-func (s *Server) levelOf(w waiting) level {
+func (s *Server) levelOf(w queuedItem) level {
 	switch {
 	case w.Priority == slatewind.PriorityBackground:
 		return levelBackground
 	case w.Begun:
 		return levelBegun
-	case w.passed >= mostPassed:
-		return levelPassed
+	case w.overtaken >= maxOvertaken:
+		return levelOvertaken
 	}
 	return levelNew
 }
 
-// notePassed counts an item that starts for the first n in the queue, which came
-// before it and wait on.
-func (s *Server) notePassed(it Item, n int) {
+// countOvertaken records that an item starts before the first n in the queue, which
+// arrived earlier and still wait. Only begun items count.
+func (s *Server) countOvertaken(it Item, n int) {
 	if !it.Begun {
 		return
 	}
 	for i := range s.queue[:n] {
-		s.queue[i].passed++
+		s.queue[i].overtaken++
 	}
 }
 
-// othersGoFirst reports whether an item waits that a newcomer must not pass.
-func (s *Server) othersGoFirst(it Item) bool {
-	own := s.levelOf(waiting{Item: it})
+// mustQueue reports whether the queue holds an item that goes before a new one.
+func (s *Server) mustQueue(it Item) bool {
+	own := s.levelOf(queuedItem{Item: it})
 	for _, q := range s.queue {
-		if s.goesFirst(q, it, own) {
+		if s.precedes(q, it, own) {
 			return true
 		}
 	}
 	return false
 }
 
-// goesFirst reports whether a waiting interactive item goes before a newcomer of
-// some level: one of a lower level, or of the same and no higher rank.
-func (s *Server) goesFirst(q waiting, it Item, own level) bool {
+// precedes reports whether the queued item q goes before the new item of level own:
+// q is interactive and of a lower level, or of the same level and no higher rank.
+func (s *Server) precedes(q queuedItem, it Item, own level) bool {
 	l := s.levelOf(q)
 	return l != levelBackground && (l < own || l == own && q.Rank <= it.Rank)
 }
 
-// nextItem returns the index of the waiting item that gets the next slot, or -1.
+// nextItem returns the index of the waiting item that gets the next free slot, or -1
+// if there is no such item or no free slot.
 func (s *Server) nextItem() int {
 	best := -1
 	for i, it := range s.queue {
@@ -85,8 +86,8 @@
 	return best
 }
 
-// before reports whether a goes before b, which came earlier.
-func (s *Server) before(a, b waiting) bool {
+// before reports whether a goes before b, which arrived earlier.
+func (s *Server) before(a, b queuedItem) bool {
 	if la, lb := s.levelOf(a), s.levelOf(b); la != lb {
 		return la < lb
 	}
@@ -96,12 +97,12 @@
 	return s.running[a.Customer] < s.running[b.Customer]
 }
 
-// victim returns the index of the item that makes room for a newcomer, or -1:
-// the latest of those that go last if the newcomer goes before them, else the
-// latest item of a customer that has at least two more waiting than the
-// newcomer's.
+// victim returns the index of the item to evict from the full queue in favour of a new
+// one, or -1: the latest of the items that go last if the new one goes before them,
+// otherwise the latest item of a customer that has at least two more waiting than the
+// customer of the new one.
 func (s *Server) victim(it Item) int {
-	own := s.levelOf(waiting{Item: it})
+	own := s.levelOf(queuedItem{Item: it})
 	if own == levelBackground {
 		return -1
 	}
@@ -109,11 +110,11 @@
 	if l := s.levelOf(s.queue[i]); l > own || l == own && s.queue[i].Rank > it.Rank {
 		return i
 	}
-	return s.crowding(it, own)
+	return s.largestCustomer(it, own)
 }
 
 // lowest returns the index of the latest of the waiting items that go last. The
-// queue is not empty.
+// queue must not be empty.
 func (s *Server) lowest() int {
 	last := 0
 	for i, q := range s.queue {
@@ -125,9 +126,10 @@
 	return last
 }
 
-// crowding returns the index of the latest item, of no lower level than the
-// newcomer's, of the customer that has most waiting, or -1.
-func (s *Server) crowding(it Item, own level) int {
+// largestCustomer returns the index of the latest item of the customer with the most
+// items waiting, or -1. It considers only items of level own or above and customers
+// with at least two more items waiting than the customer of the new item.
+func (s *Server) largestCustomer(it Item, own level) int {
 	count := map[string]int{}
 	for _, q := range s.queue {
 		count[q.Customer]++
@@ -144,14 +146,14 @@
 	return best
 }
 
-// wait estimates how long an item would wait for its slot.
+// wait estimates how long a new item would wait for a slot.
 func (s *Server) wait(it Item) time.Duration {
 	ahead := len(s.queue) + 1
 	if it.Priority != slatewind.PriorityBackground {
 		ahead = 1
-		own := s.levelOf(waiting{Item: it})
+		own := s.levelOf(queuedItem{Item: it})
 		for _, q := range s.queue {
-			if s.goesFirst(q, it, own) {
+			if s.precedes(q, it, own) {
 				ahead++
 			}
 		}
--- a/admission/order_test.go
+++ b/admission/order_test.go
@@ -11,7 +11,7 @@
 	"slatewind.example/slatewind/admission"
 )
 
-// full returns a server all of whose slots are held by begun items.
+// full returns a server with all slots held by begun items, and these items.
 func full(slots int) (s *admission.Server, held []admission.Item) {
 	s = admission.NewServer(slots)
 	for i := range slots {
@@ -22,26 +22,26 @@
 	return s, held
 }
 
-// TestOrder states in which order waiting items get slots that come free one
-// after the other, and which of them a full queue of two refuses.
+// TestOrder checks the order in which waiting items get slots that become free one at
+// a time, and which items a full queue of two refuses.
 func TestOrder(t *testing.T) {
 	item := func(id string, rank uint32, begun bool) admission.Item {
 		return admission.Item{ID: id, Rank: rank, Begun: begun, Deadline: begin.Add(time.Hour)}
 	}
 	tests := map[string]struct {
 		offered []admission.Item
-		// started are the ids in the order of their starts.
+		// started holds the IDs of the items in the order of their starts.
 		started []string
 	}{
-		"the earlier first":                 {[]admission.Item{item("a", 1, false), item("b", 1, false)}, []string{"a", "b"}},
-		"the lower rank first":              {[]admission.Item{item("a", 1, false), item("b", 0, false)}, []string{"b", "a"}},
-		"begun before a lower rank":         {[]admission.Item{item("a", 0, false), item("b", 2, true)}, []string{"b", "a"}},
-		"begun by rank":                     {[]admission.Item{item("a", 1, true), item("b", 0, true)}, []string{"b", "a"}},
-		"begun takes a place":               {[]admission.Item{item("a", 0, false), item("b", 0, false), item("c", 2, true)}, []string{"c", "a"}},
-		"new takes none from begun":         {[]admission.Item{item("a", 2, true), item("b", 2, true), item("c", 0, false)}, []string{"a", "b"}},
-		"the higher rank loses its place":   {[]admission.Item{item("a", 1, false), item("b", 0, false), item("c", 0, false)}, []string{"b", "c"}},
-		"an equal one does not":             {[]admission.Item{item("a", 1, false), item("b", 1, false), item("c", 1, false)}, []string{"a", "b"}},
-		"begun does not from a lower begun": {[]admission.Item{item("a", 0, true), item("b", 0, true), item("c", 1, true)}, []string{"a", "b"}},
+		"earlier arrival first":                    {[]admission.Item{item("a", 1, false), item("b", 1, false)}, []string{"a", "b"}},
+		"lower rank first":                         {[]admission.Item{item("a", 1, false), item("b", 0, false)}, []string{"b", "a"}},
+		"begun before a lower rank":                {[]admission.Item{item("a", 0, false), item("b", 2, true)}, []string{"b", "a"}},
+		"begun by rank":                            {[]admission.Item{item("a", 1, true), item("b", 0, true)}, []string{"b", "a"}},
+		"begun evicts a new item":                  {[]admission.Item{item("a", 0, false), item("b", 0, false), item("c", 2, true)}, []string{"c", "a"}},
+		"new does not evict begun":                 {[]admission.Item{item("a", 2, true), item("b", 2, true), item("c", 0, false)}, []string{"a", "b"}},
+		"lower rank evicts a higher rank":          {[]admission.Item{item("a", 1, false), item("b", 0, false), item("c", 0, false)}, []string{"b", "c"}},
+		"equal rank does not evict":                {[]admission.Item{item("a", 1, false), item("b", 1, false), item("c", 1, false)}, []string{"a", "b"}},
+		"begun does not evict begun of lower rank": {[]admission.Item{item("a", 0, true), item("b", 0, true), item("c", 1, true)}, []string{"a", "b"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,14 +64,14 @@
 	}
 }
 
-// TestBegunItemsDoNotStarve: however many begun items come, one that waits at
-// the head of the others starts after they passed it twice.
+// TestBegunItemsDoNotStarve checks that the first waiting item that is not begun starts
+// after begun items have overtaken it twice, however many of them arrive.
 func TestBegunItemsDoNotStarve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
 		s, running := full(slots)
 		s.Offer(begin, admission.Item{ID: "waits", Rank: 5, Deadline: begin.Add(time.Hour)})
-		passed := 0
+		overtaken := 0
 		for serial := 0; ; serial++ {
 			s.Offer(begin, admission.Item{ID: fmt.Sprint(serial), Begun: true, Deadline: begin.Add(time.Hour)})
 			if rapid.Bool().Draw(t, "another") && s.Queued() < slots {
@@ -84,8 +84,8 @@
 			if decisions[0].Item.ID == "waits" {
 				break
 			}
-			passed++
-			assert.Assert(t, passed <= 2, "passed %d times", passed)
+			overtaken++
+			assert.Assert(t, overtaken <= 2, "overtaken %d times", overtaken)
 		}
 	})
 }
--- a/overload/ablation_test.go
+++ b/overload/ablation_test.go
@@ -109,7 +109,7 @@
 	},
 	"fair among workspaces": {
 		{File: orderFile, From: "return s.running[a.Customer] < s.running[b.Customer]", To: "return false"},
-		{File: orderFile, From: "return s.crowding(it, own)", To: "return -1"},
+		{File: orderFile, From: "return s.largestCustomer(it, own)", To: "return -1"},
 	},
 	"jitter": {
 		{File: costFile, From: "jitter = 0.15", To: "jitter = 0.0"},
