--- a/retry/denials.go
+++ b/retry/denials.go
@@ -1,23 +1,25 @@
 package retry
 
-// A search for an extra attempt asks one server after the other whether it may get one,
-// and ends after so many denials: calmDenials where none was denied lately, scarceDenials
-// where some were. While attempts are scarce, each one that a server earns is found at once
-// by one of the many searches, and longer ones only cost messages (package overload,
-// all-shed-half). At other times the few servers that have earned an attempt have to be
-// found. Lower ranks ask fewer, leastDenials at the least.
+// A search for an extra attempt asks one server after the other for permission and ends
+// after a limited number of denials: normalDenials if no extra attempt was denied recently,
+// scarceDenials if one was. While extra attempts are scarce, each one that a server earns is
+// found immediately by one of the many searches, and longer searches only cost messages
+// (pattern all-shed-half of package overload). At other times a search has to find the few
+// servers that have earned an attempt. Requests of lower priority ask fewer servers, but at
+// least minDenials.
 const (
-	calmDenials   = 24
+	normalDenials = 24
 	scarceDenials = 6
-	leastDenials  = 2
+	minDenials    = 2
 )
 
-// MostDenials returns after how many denials the search for a server that may get an
-// extra attempt ends. scarce says that others were denied lately; rank 0 is the highest.
+// MostDenials returns the number of denials after which the search for a server that
+// grants an extra attempt ends. scarce is set if other extra attempts were denied recently;
+// rank 0 is the highest priority.
 func MostDenials(rank uint32, scarce bool) int {
-	most := uint64(calmDenials)
+	limit := uint64(normalDenials)
 	if scarce {
-		most = scarceDenials
+		limit = scarceDenials
 	}
-	return int(max(most/(uint64(rank)+1), leastDenials))
+	return int(max(limit/(uint64(rank)+1), minDenials))
 }
--- a/retry/earned.go
+++ b/retry/earned.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// partsOfSpan is how many parts of a span are told apart by when their requests came. Where a part
-// lies at the edge of a span, its requests are not counted in that.
+// partsOfSpan is the number of parts into which a span is divided for counting requests. A part
+// that lies across the edge of a span is not counted in that span.
 const partsOfSpan = 16
 
-// mark is how many requests had come by some time.
+// mark is the number of requests that had arrived before a point in time.
 type mark struct {
 	at     time.Time
 	firsts int
 }
 
-// earned keeps a server from spending in one span what another one earned. The operators' bound
-// counts, for each span, the requests of it, of the one before, or of the one half a span earlier,
-// whichever holds the most. A server that knows of no others' requests may count half of its own in
-// the span and half of those in the one before: over all servers these add up to no more than the
-// bound allows, wherever the load goes. An even load earns in full, a fresh burst half.
+// earned keeps a server from spending in one span what was earned in another. The operators' limit
+// counts, for each span, the requests of that span, of the one before, or of the one half a span
+// earlier, whichever holds the most. A server, which does not know the requests of other servers,
+// may count half of its own requests in the span and half of those in the one before: over all
+// servers these add up to no more than the limit allows, however the load is distributed. An even
+// load earns in full, the start of a burst earns half.
 //
 // Where the operators allow no slack, half would leave next to nothing to small services. There a
-// server counts as the operators do, whichever span holds the most of its own requests. Loads that
-// rise and fall at all servers alike, as bursts do, then keep the bound, and loads that move between
-// servers may exceed it.
+// server counts as the operators do and uses the span that holds the most of its own requests. The
+// limit is then kept for loads that rise and fall at all servers alike, as bursts do; loads that
+// move between servers may exceed it.
 type earned struct {
+	// firsts counts all requests.
 	firsts int
-	// parts holds how many requests had come when each part of the last spans began, oldest
-	// first, spent when attempts were paid for within the last span.
+	// parts holds a mark for the beginning of each part of the last two spans, spent one for
+	// each attempt that was paid for within the last span. Both are ordered by time, oldest first.
 	parts, spent []mark
 }
 
-// first notes a request.
+// first records a request.
 func (e *earned) first(now time.Time, span time.Duration) {
 	part := span / partsOfSpan
 	if n := len(e.parts); n == 0 || now.Sub(e.parts[n-1].at) >= part {
@@ -44,27 +46,28 @@
 	e.firsts++
 }
 
-// spend notes that an attempt was paid for.
+// spend records the payment for an attempt.
 func (e *earned) spend(now time.Time) {
 	e.spent = append(e.spent, mark{now, e.firsts})
 }
 
-// giveBack takes back the newest payment.
-func (e *earned) giveBack() {
+// refund cancels the newest payment.
+func (e *earned) refund() {
 	if n := len(e.spent); n > 0 {
 		e.spent = e.spent[:n-1]
 	}
 }
 
-// covers reports whether each span that begins with an attempt of the last one holds no more of them
-// than its requests earn, one that is paid for now included. bare says that there is no slack.
-func (e *earned) covers(now time.Time, ratio float64, span time.Duration, bare bool) bool {
+// covers reports whether one more attempt can be paid for now: no span that begins with an attempt
+// of the last span may hold more attempts, the new one included, than its requests earn. noSlack is
+// set if the operators allow the service no slack.
+func (e *earned) covers(now time.Time, ratio float64, span time.Duration, noSlack bool) bool {
 	for len(e.spent) > 0 && now.Sub(e.spent[0].at) > span {
 		e.spent = e.spent[1:]
 	}
 	counted := e.halves
-	if bare {
-		counted = e.most
+	if noSlack {
+		counted = e.maxCount
 	}
 	for i, begin := range e.spent {
 		extras := len(e.spent) - i + 1
@@ -72,24 +75,25 @@
 			return false
 		}
 	}
-	return bare || counted(now, mark{now, e.firsts}, span) >= 1/ratio
+	return noSlack || counted(now, mark{now, e.firsts}, span) >= 1/ratio
 }
 
-// halves returns half of the requests of the span that begins at a mark and half of those before it.
+// halves returns half the number of requests in the span that begins at a mark and in the one
+// before it.
 func (e *earned) halves(_ time.Time, begin mark, span time.Duration) float64 {
 	return float64(e.firsts-e.atMost(begin.at.Add(-span))) / 2
 }
 
-// most returns the requests of the span that begins at a mark, of the one before it or of the one
-// half a span earlier, whichever holds the most.
-func (e *earned) most(now time.Time, begin mark, span time.Duration) float64 {
+// maxCount returns the number of requests in the span that begins at a mark, in the one before it or
+// in the one half a span earlier, whichever is the largest.
+func (e *earned) maxCount(now time.Time, begin mark, span time.Duration) float64 {
 	within := e.firsts - begin.firsts
 	before := begin.firsts - e.atMost(begin.at.Add(-span))
 	around := e.atLeast(begin.at.Add(span/2), now) - e.atMost(begin.at.Add(-span/2))
 	return float64(max(within, before, around))
 }
 
-// atMost returns how many requests had come at a time, or some more.
+// atMost returns an upper bound of the number of requests that had arrived before a point in time.
 func (e *earned) atMost(at time.Time) int {
 	i := sort.Search(len(e.parts), func(i int) bool { return !e.parts[i].at.Before(at) })
 	if i == len(e.parts) {
@@ -98,7 +102,8 @@
 	return e.parts[i].firsts
 }
 
-// atLeast returns how many requests had come at a time, or some fewer; all where it is not over.
+// atLeast returns a lower bound of the number of requests that had arrived before a point in time,
+// or their number up to now if that point is not in the past.
 func (e *earned) atLeast(at, now time.Time) int {
 	if !at.Before(now) {
 		return e.firsts
--- a/retry/model_test.go
+++ b/retry/model_test.go
@@ -13,10 +13,11 @@
 )
 
 // The model: the servers of one service, each with the real Window of the process beside
-// it, in whole ticks of time. What package inbound does with a Window is written again
-// here: inbound.earn notes a request with its first reservation, use.decided takes a payment
-// when it grants a slot, use.arrive counts the arrival, use.release returns the payment,
-// inbound.shareSlack divides the slack, inbound.New begins anew.
+// it, in discrete ticks of time. The model repeats what package inbound does with a Window:
+// Inbound.earnExtra records a request with its first reservation, use.handleDecision takes a
+// payment when it grants a slot, use.chargeExtra counts the arrival, use.release refunds the
+// payment, Inbound.updateSlack divides the slack, and inbound.New creates the window of a new
+// process.
 const (
 	tick      = time.Second
 	spanTicks = 2
@@ -27,27 +28,28 @@
 	maxMarks  = 8
 )
 
-// config is a small deployment that is explored to its end.
+// config is a small deployment whose states are all explored.
 type config struct {
 	servers int
 	ratio   float64
 	slack   float64
-	// firsts bounds the requests that callers send in a tick, debt the charges that are not earned.
+	// firsts limits the requests that callers send in a tick, debt the charges that are not earned yet.
 	firsts, debt int
-	// held bounds the granted slots that wait for their requests. An attempt arrives within
-	// so many ticks after its grant, or the grant is given back within so many.
+	// held limits the granted slots that wait for their requests. An attempt arrives within
+	// arrivesIn ticks after its grant, or the grant is returned within returnsIn.
 	held, arrivesIn, returnsIn int
-	// restarts allows processes to start anew.
+	// restarts allows processes to restart.
 	restarts bool
-	// unheard lets requests be sent of which no process hears.
-	unheard bool
-	// given is the share of the bound that the windows get; zero means all of it.
+	// unseen allows requests that reach no process.
+	unseen bool
+	// given is the share of the limit that the windows get; zero means all of it.
 	given float64
-	// lenient lets the requests of the span before, or of one half a span earlier, count where there were more of them, as the operators' rule does.
+	// lenient counts requests as the operators' rule does: those of the span before, or of the one half
+	// a span earlier, where there were more of them.
 	lenient bool
 }
 
-// share returns the share of the bound that the windows get.
+// share returns the share of the limit that the windows get.
 func (c config) share() float64 {
 	if c.given == 0 {
 		return 1
@@ -62,42 +64,42 @@
 	age    int8
 }
 
-// bounded is one state of the model.
-type bounded struct {
+// state is one state of the model.
+type state struct {
 	now     time.Time
 	windows []Window
 	held    []heldSlot
-	// unnoted counts the requests that no window has noted, by their age.
-	unnoted [spanTicks + 1]int8
+	// pending counts the requests that no window has recorded yet, by their age in ticks.
+	pending [spanTicks + 1]int8
 	// firsts counts the requests that callers sent, extras the extra arrivals at the service,
 	// by their age in ticks.
 	firsts [2*spanTicks + 1]int8
 	extras [spanTicks + 1]int8
 }
 
-// boundedKey tells states apart, whatever the time.
-type boundedKey struct {
+// stateKey identifies a state regardless of the absolute time.
+type stateKey struct {
 	saved [maxNodes]float64
 	since [maxNodes]int8
-	// earning is how long ago what is saved without slack began to be earned.
+	// earning is the age of what was saved without slack, in ticks.
 	earning [maxNodes]int8
-	// unused are the payments for attempts that have not arrived yet.
+	// unused counts the payments for attempts that have not arrived yet.
 	unused [maxNodes][2]int8
-	// parts and paid are what a window without slack knows of its requests and of what they paid
-	// for: ages, and how many requests came since.
+	// parts and paid are the marks of requests and payments in a window without slack: the age of
+	// each mark and the number of requests since.
 	parts, paid [maxNodes][maxMarks][2]int8
 	spent       [maxNodes][maxSpent]int8
 	held        [maxHeld]heldSlot
-	unnoted     [spanTicks + 1]int8
+	pending     [spanTicks + 1]int8
 	firsts      [2*spanTicks + 1]int8
 	extras      [spanTicks + 1]int8
 }
 
-// never is the age of what did not happen.
+// never is the age of an event that did not happen.
 const never = -1
 
-func (b *bounded) key() boundedKey {
-	k := boundedKey{unnoted: b.unnoted, firsts: b.firsts, extras: b.extras}
+func (b *state) key() stateKey {
+	k := stateKey{pending: b.pending, firsts: b.firsts, extras: b.extras}
 	for i := range b.windows {
 		w := &b.windows[i]
 		k.saved[i] = w.saved
@@ -119,8 +121,8 @@
 	return k
 }
 
-// mark notes the marks that are not too old.
-func (b *bounded) mark(ages *[maxMarks][2]int8, marks []mark, firsts, ticks int) {
+// mark writes the marks that are at most so many ticks old to ages.
+func (b *state) mark(ages *[maxMarks][2]int8, marks []mark, firsts, ticks int) {
 	j := 0
 	for _, m := range marks {
 		if age := int(b.now.Sub(m.at) / tick); age <= ticks {
@@ -130,7 +132,7 @@
 	}
 }
 
-func (b *bounded) clone() *bounded {
+func (b *state) clone() *state {
 	c := *b
 	c.windows = slices.Clone(b.windows)
 	for i := range c.windows {
@@ -142,14 +144,15 @@
 	return &c
 }
 
-// rules are what the processes do with their windows. The variants leave one out.
+// rules define how processes use their windows. TestBoundWithoutSafeguard leaves one
+// out at a time.
 type rules struct {
 	// begin returns the window of a process that starts.
 	begin func(c config, server int, now time.Time) Window
-	// late is for how many ticks a request may not be noted yet.
+	// late is the number of ticks for which a request may remain unrecorded.
 	late int
-	// first notes a request, take pays for an extra one, charge counts one that is
-	// not denied.
+	// first records a request, take pays for an extra attempt, charge counts one that
+	// cannot be denied.
 	first  func(w *Window, now time.Time)
 	take   func(w *Window, now time.Time) Payment
 	charge func(w *Window)
@@ -157,8 +160,8 @@
 	arrived func(w *Window, now time.Time, p Payment)
 }
 
-// inForce are the rules of the product.
-func inForce() rules {
+// standardRules returns the rules of the product.
+func standardRules() rules {
 	return rules{
 		begin: func(c config, server int, now time.Time) Window {
 			w := NewWindow(now, c.share()*c.ratio, modelSpan)
@@ -172,9 +175,9 @@
 	}
 }
 
-// next lets each event happen that may.
-func (c config) next(r rules) func(*bounded, func(string, *bounded)) {
-	return func(b *bounded, step func(string, *bounded)) {
+// next returns the function that passes all successors of a state to step.
+func (c config) next(r rules) func(*state, func(string, *state)) {
+	return func(b *state, step func(string, *state)) {
 		for i := range b.windows {
 			if int(b.firsts[0]) < c.firsts {
 				c.first(r, b.clone(), i, step)
@@ -187,7 +190,7 @@
 				charged := b.clone()
 				r.charge(&charged.windows[i])
 				charged.extras[0]++
-				step(fmt.Sprintf("server %d gets a call of a repeated run", i), charged)
+				step(fmt.Sprintf("server %d receives a nested call of a repeated run", i), charged)
 			}
 			if c.restarts && !b.paidNow(i) {
 				c.restart(r, b.clone(), i, step)
@@ -198,37 +201,37 @@
 	}
 }
 
-// paidNow reports whether a process has paid from its slack in this tick. One that starts
-// after it does so later.
-func (b *bounded) paidNow(i int) bool {
+// paidNow reports whether a process has paid from its slack in this tick. Such a process
+// does not restart in the same tick, since its successor starts later.
+func (b *state) paidNow(i int) bool {
 	spent := b.windows[i].spent
 	return len(spent) > 0 && spent[len(spent)-1].Equal(b.now)
 }
 
-// restart ends a process, with the grants that it holds, and starts the next one.
-func (c config) restart(r rules, b *bounded, i int, step func(string, *bounded)) {
+// restart ends a process, together with the grants it holds, and starts the next one.
+func (c config) restart(r rules, b *state, i int, step func(string, *state)) {
 	b.windows[i] = r.begin(c, i, b.now)
 	b.held = slices.DeleteFunc(b.held, func(h heldSlot) bool { return int(h.server) == i })
-	step(fmt.Sprintf("process %d starts anew", i), b)
+	step(fmt.Sprintf("process %d restarts", i), b)
 }
 
-// first has a caller send a request for which a server is asked, or none can be.
-func (c config) first(r rules, b *bounded, i int, step func(string, *bounded)) {
+// first lets a caller send a request, for which a server is asked or none can be.
+func (c config) first(r rules, b *state, i int, step func(string, *state)) {
 	b.firsts[0]++
 	if r.late > 0 {
-		b.unnoted[0]++
-		step("a request that is not noted yet", b)
+		b.pending[0]++
+		step("a request is not recorded yet", b)
 		return
 	}
-	if c.unheard {
-		step("a request of which no server hears", b.clone())
+	if c.unseen {
+		step("a request reaches no server", b.clone())
 	}
 	r.first(&b.windows[i], b.now)
 	step(fmt.Sprintf("server %d is asked first for a request", i), b)
 }
 
-// granted lets an extra attempt that was paid for arrive at once, or wait.
-func (c config) granted(r rules, b *bounded, i int, p Payment, step func(string, *bounded)) {
+// granted lets an extra attempt that was paid for arrive immediately, or wait.
+func (c config) granted(r rules, b *state, i int, p Payment, step func(string, *state)) {
 	if len(b.held) < c.held {
 		waits := b.clone()
 		waits.held = append(waits.held, heldSlot{server: int8(i), paid: p})
@@ -236,12 +239,12 @@
 	}
 	r.arrived(&b.windows[i], b.now, p)
 	b.extras[0]++
-	step(fmt.Sprintf("server %d gets an extra arrival, paid from %s", i, p), b)
+	step(fmt.Sprintf("server %d receives an extra arrival, paid from %s", i, p), b)
 }
 
-// resolve lets granted attempts arrive or be given back, and requests that were
-// not noted be so.
-func (c config) resolve(r rules, b *bounded, step func(string, *bounded)) {
+// resolve lets granted attempts arrive or be returned, and pending requests be
+// recorded.
+func (c config) resolve(r rules, b *state, step func(string, *state)) {
 	for j, slot := range b.held {
 		rest := b.clone()
 		rest.held = slices.Delete(rest.held, j, j+1)
@@ -253,23 +256,24 @@
 		}
 		if int(slot.age) <= c.returnsIn {
 			rest.windows[slot.server].Return(slot.paid)
-			step(fmt.Sprintf("the grant of server %d from %d ticks ago is given back", slot.server, slot.age), rest)
+			step(fmt.Sprintf("the grant of server %d from %d ticks ago is returned", slot.server, slot.age), rest)
 		}
 	}
-	for age, n := range b.unnoted {
+	for age, n := range b.pending {
 		for i := range b.windows {
 			if n > 0 {
-				noted := b.clone()
-				noted.unnoted[age]--
-				r.first(&noted.windows[i], noted.now)
-				step(fmt.Sprintf("server %d notes a request of %d ticks ago", i, age), noted)
+				recorded := b.clone()
+				recorded.pending[age]--
+				r.first(&recorded.windows[i], recorded.now)
+				step(fmt.Sprintf("server %d records a request of %d ticks ago", i, age), recorded)
 			}
 		}
 	}
 }
 
-// pass lets a tick pass, unless a granted slot or a request waits no longer.
-func (c config) pass(r rules, b *bounded, step func(string, *bounded)) {
+// pass lets a tick pass, unless the time to resolve a granted slot or to record a request
+// has run out.
+func (c config) pass(r rules, b *state, step func(string, *state)) {
 	later := b.clone()
 	later.now = later.now.Add(tick)
 	for j := range later.held {
@@ -277,10 +281,10 @@
 			return
 		}
 	}
-	if b.unnoted[min(r.late, spanTicks)] > 0 {
+	if b.pending[min(r.late, spanTicks)] > 0 {
 		return
 	}
-	age(later.unnoted[:])
+	age(later.pending[:])
 	age(later.extras[:])
 	if c.lenient {
 		age(later.firsts[:])
@@ -290,17 +294,17 @@
 	step("a tick passes", later)
 }
 
-// age makes counts by age a tick older.
+// age shifts counts by age by one tick.
 func age(counts []int8) {
 	copy(counts[1:], counts)
 	counts[0] = 0
 }
 
-var errOverBound = errors.New("more extra arrivals in a span than the bound allows")
+var errOverLimit = errors.New("extra arrivals in a span exceed the limit")
 
-// check compares the span that ends now with the bound. What charges took beyond it is
-// owed by some window.
-func (c config) check(b *bounded) error {
+// check compares the span that ends now with the limit. Charges may exceed it by the
+// debts of the windows.
+func (c config) check(b *state) error {
 	firsts := sum(b.firsts[:spanTicks+1])
 	if c.lenient {
 		firsts = max(firsts, sum(b.firsts[spanTicks/2:spanTicks/2+spanTicks+1]), sum(b.firsts[spanTicks:]))
@@ -310,7 +314,7 @@
 		allowed += max(-b.windows[i].saved, 0)
 	}
 	if extras > allowed {
-		return fmt.Errorf("%w: %g, and %g are allowed", errOverBound, extras, allowed)
+		return fmt.Errorf("%w: %g, and %g are allowed", errOverLimit, extras, allowed)
 	}
 	return nil
 }
@@ -323,51 +327,52 @@
 	return n
 }
 
-// explore visits all states under some rules.
+// explore visits all states that are reachable under the given rules.
 func (c config) explore(r rules) explore.Result {
-	start := &bounded{now: time.Unix(1000, 0)}
+	start := &state{now: time.Unix(1000, 0)}
 	for i := range c.servers {
 		start.windows = append(start.windows, r.begin(c, i, start.now))
 	}
-	return explore.Model[*bounded, boundedKey]{
-		Start: start, Key: (*bounded).key, Next: c.next(r), Check: c.check, MaxStates: 400_000,
+	return explore.Model[*state, stateKey]{
+		Start: start, Key: (*state).key, Next: c.next(r), Check: c.check, MaxStates: 400_000,
 	}.Run()
 }
 
-// given is the share of the operators' bound that package inbound gives out.
+// given is the share of the operators' limit that package inbound gives to windows.
 const given = 0.85
 
-// configs are the deployments in which the bound holds.
+// configs are the deployments in which the limit is kept.
 var configs = map[string]config{
 	"one server, half an attempt earned each": {servers: 1, ratio: 0.5, slack: 4, firsts: 2, held: 1},
 	"two servers":                      {servers: 2, ratio: 1, slack: 6, firsts: 1},
-	"two servers that start anew":      {servers: 2, ratio: 1, slack: 6, firsts: 1, restarts: true},
-	"one server that starts anew":      {servers: 1, ratio: 1, slack: 4, firsts: 2, held: 2, restarts: true},
+	"two servers that restart":         {servers: 2, ratio: 1, slack: 6, firsts: 1, restarts: true},
+	"one server that restarts":         {servers: 1, ratio: 1, slack: 4, firsts: 2, held: 2, restarts: true},
 	"three servers that save one each": {servers: 3, ratio: 1, slack: 3, firsts: 1},
-	"requests as operators count them": {servers: 1, ratio: 1 / given, slack: 3 / given, firsts: 2, given: given, lenient: true, unheard: true},
-	"calls of repeated runs":           {servers: 1, ratio: 1, slack: 3, firsts: 2, debt: 2},
+	"requests as operators count them": {servers: 1, ratio: 1 / given, slack: 3 / given, firsts: 2, given: given, lenient: true, unseen: true},
+	"nested calls of repeated runs":    {servers: 1, ratio: 1, slack: 3, firsts: 2, debt: 2},
 }
 
-// TestBoundInAllStates: no sequence of arrivals, denials, grants that are given back,
-// calls and new starts leads over the bound, where attempts arrive in the tick in which
+// TestBoundInAllStates checks that no sequence of arrivals, denials, returned grants,
+// nested calls and restarts exceeds the limit, where attempts arrive in the tick in which
 // they are granted.
 func TestBoundInAllStates(t *testing.T) {
 	for name, c := range configs {
 		t.Run(name, func(t *testing.T) {
-			result := c.explore(inForce())
+			result := c.explore(standardRules())
 			assert.NilError(t, result.Err, "%v", result)
 			t.Logf("%d states", result.States)
 		})
 	}
 }
 
-// TestBoundWithoutSafeguard: the exploration notices each safeguard that is left out.
+// TestBoundWithoutSafeguard checks that the exploration detects the removal of any one
+// safeguard.
 func TestBoundWithoutSafeguard(t *testing.T) {
 	tests := map[string]struct {
 		config string
 		leave  func(r *rules)
 	}{
-		"a new process spends its slack at once": {"one server that starts anew", func(r *rules) {
+		"a new process spends its slack immediately": {"one server that restarts", func(r *rules) {
 			begin := r.begin
 			r.begin = func(c config, server int, now time.Time) Window {
 				w := begin(c, server, now)
@@ -383,15 +388,15 @@
 				return w
 			}
 		}},
-		"what may be saved is not taken off the slack": {"one server, half an attempt earned each", func(r *rules) {
+		"the capacity of the bucket is not deducted from the slack": {"one server, half an attempt earned each", func(r *rules) {
 			r.take = func(w *Window, now time.Time) Payment {
 				share := w.slack
 				defer func() { w.slack = share }()
-				w.slack += w.mostSaved()
+				w.slack += w.capacity()
 				return w.Take(now)
 			}
 		}},
-		"slack is free again sooner": {"one server, half an attempt earned each", func(r *rules) {
+		"slack is freed too early": {"one server, half an attempt earned each", func(r *rules) {
 			begin := r.begin
 			r.begin = func(c config, server int, now time.Time) Window {
 				w := begin(c, server, now)
@@ -399,46 +404,47 @@
 				return w
 			}
 		}},
-		"the ratio is saved without bound": {"one server, half an attempt earned each", func(r *rules) {
-			r.first = func(w *Window, _ time.Time) { w.saved = min(w.saved+w.ratio, 2*mostSaved+1) }
+		"the bucket has no upper limit": {"one server, half an attempt earned each", func(r *rules) {
+			r.first = func(w *Window, _ time.Time) { w.saved = min(w.saved+w.ratio, 2*maxSaved+1) }
 		}},
-		"a charge is not counted": {"calls of repeated runs", func(r *rules) {
+		"a charge is not counted": {"nested calls of repeated runs", func(r *rules) {
 			r.charge = func(*Window) {}
 		}},
-		"a request is noted once it has waited": {"requests as operators count them", func(r *rules) {
+		"a request is recorded after a delay": {"requests as operators count them", func(r *rules) {
 			r.late = 1
 		}},
-		"an extra arrival earns as a first one": {"two servers", func(r *rules) {
+		"an extra arrival earns like a first one": {"two servers", func(r *rules) {
 			r.arrived = func(w *Window, now time.Time, p Payment) { w.Arrived(now, p); w.First(now) }
 		}},
-		"a payment is returned although its attempt arrived": {"two servers", func(r *rules) {
+		"a payment is refunded although its attempt arrived": {"two servers", func(r *rules) {
 			r.arrived = func(w *Window, _ time.Time, p Payment) { w.Return(p) }
 		}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := inForce()
+			r := standardRules()
 			test.leave(&r)
 			result := configs[test.config].explore(r)
-			assert.Assert(t, errors.Is(result.Err, errOverBound), "%v", result)
+			assert.Assert(t, errors.Is(result.Err, errOverLimit), "%v", result)
 			t.Log(result)
 		})
 	}
 }
 
-// TestBoundOverTime: the operators' bound holds too where time passes between the grant of
-// an extra attempt and its arrival or return, and where a server's share of the slack is
-// less than the attempt that it may save up. A tick is half of a span here: grants last long.
+// TestBoundOverTime checks that the operators' limit is also kept where time passes between
+// the grant of an extra attempt and its arrival or return, and where a server's share of the
+// slack is less than the one attempt that it may save. A tick is half a span here, so grants
+// last long.
 func TestBoundOverTime(t *testing.T) {
 	tests := map[string]config{
-		"an attempt arrives a while after its grant":        {servers: 1, slack: 12, held: 5, arrivesIn: 1, given: given},
-		"a grant is given back a while later":               {servers: 1, slack: 6, held: 4, returnsIn: 1, given: given},
-		"grants of either payment arrive or are given back": {servers: 1, ratio: 1, slack: 4, firsts: 2, held: 3, arrivesIn: 1, returnsIn: 1},
-		"more servers than the slack has extra attempts":    {servers: 3, ratio: 1, slack: 2, firsts: 1, given: given, lenient: true},
+		"an attempt arrives a while after its grant":      {servers: 1, slack: 12, held: 5, arrivesIn: 1, given: given},
+		"a grant is returned a while later":               {servers: 1, slack: 6, held: 4, returnsIn: 1, given: given},
+		"grants of either payment arrive or are returned": {servers: 1, ratio: 1, slack: 4, firsts: 2, held: 3, arrivesIn: 1, returnsIn: 1},
+		"more servers than the slack has extra attempts":  {servers: 3, ratio: 1, slack: 2, firsts: 1, given: given, lenient: true},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
-			result := c.explore(inForce())
+			result := c.explore(standardRules())
 			assert.NilError(t, result.Err, "%v", result)
 		})
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,45 +1,49 @@
-// Package retry bounds extra attempts. Retries and hedges help while few
-// servers are sick and feed an overload on itself when all are full, so both
-// draw on one budget that grows only with first attempts.
+// Package retry limits extra attempts. Retries and hedges help while few servers are
+// unhealthy, but amplify an overload when all servers are full, so both draw on one
+// budget that grows only with first attempts.
 //
-// A Window is a token bucket beside a sliding-window counter, for the arrivals at one
-// server. It promises that in any span of its length no more extra attempts arrive than the
-// server's share of the slack and the ratio of the requests that the span brought to it
-// first. Each request earns the ratio when its first server is asked, and the bucket holds up
-// to two attempts; their number is taken off the slack. The counter holds the rest of the
-// slack: an attempt takes its part of it from the grant on, and gives it back a span after it
-// arrived, or at once where it does not arrive. So the windows of all servers of a service add
-// up to the operators' bound, whoever sends the attempts, and no process knows of another's.
+// A Window combines a token bucket and a sliding-window counter for the arrivals at
+// one server. It guarantees that the extra attempts arriving in any time span of its
+// length do not exceed the sum of the server's share of the slack, which is the number
+// of extra attempts that the operators allow a service in each span whatever its load,
+// and the retry ratio times the number of requests of the span whose first server this
+// is. Each request adds the ratio to the bucket when its first server is asked. The
+// bucket holds up to two attempts; its capacity is deducted from the slack. The
+// counter holds the rest of the slack: an attempt occupies its part from the grant on
+// and frees it a span after it arrived, or immediately if it does not arrive. Thus the
+// windows of all servers of a service add up to the operators' limit, whoever sends
+// the attempts, without any process knowing the state of another.
 //
-// What that costs:
+// The limitations of this approach:
 //
-//   - A server can't lend its share. Where few servers grant extra attempts, the others'
-//     slack is left unspent, as is what they earned beyond two attempts.
-//   - A process that starts grants nothing from its slack for a span, since the process
-//     before it may have spent it.
+//   - A server cannot pass its share to another. Where few servers grant extra attempts,
+//     the slack of the others remains unused, and so does what they earned beyond two
+//     attempts.
+//   - A process that starts grants nothing from its slack for one span, since its
+//     predecessor may have spent it.
 //   - Slack is divided in whole attempts (Sharer). Where there are more servers than
-//     attempts, those without a share keep what they earned for an eighth of a span only.
-//     They grant nothing where fewer than the requests for one attempt come in it.
-//   - These servers may count half of their own requests in a span and half of those in the one
-//     before (earned), so that a fresh burst earns them half. No rule of a server alone that
-//     keeps the bound for all loads earns more.
-//   - Where the operators allow no slack at all, all servers are without a share. They keep the
-//     bound together where the load of all rises and falls alike; loads that move between them
+//     attempts, those without a share keep what they earned for only an eighth of a span.
+//     They grant nothing if fewer requests than one attempt costs arrive in that time.
+//   - These servers may count half of their own requests in a span and half of those in the
+//     one before (earned), so that the start of a burst earns them half. No rule that uses
+//     only the state of one server and keeps the limit for all loads earns more.
+//   - Where the operators allow no slack at all, no server has a share. The servers keep the
+//     limit together if the load of all rises and falls alike; loads that move between them
 //     within a span may exceed it (TestLoadThatMovesWithoutSlack).
-//   - A change of the servers moves shares at once, while some of the old ones are spent.
-//     The host keeps a part of the bound back for it.
+//   - A change of the list of servers changes the shares immediately, while part of the old
+//     shares is already spent. The caller keeps a part of the limit in reserve for this.
 package retry
 
 // Defaults of a budget.
 const (
-	// DefaultRatio lets one extra attempt go with five first ones.
+	// DefaultRatio allows one extra attempt for every five first attempts.
 	DefaultRatio = 0.2
-	// DefaultBurst is how many extra attempts may go in a row.
+	// DefaultBurst is the number of extra attempts allowed in a row.
 	DefaultBurst = 10
 )
 
-// Budget counts the extra attempts that are allowed. It is not safe for use by
-// several goroutines; its host guards it.
+// Budget is a token bucket of extra attempts that is refilled by first attempts. It
+// is not safe for concurrent use; the caller must hold a lock.
 type Budget struct {
 	ratio  float64
 	burst  float64
@@ -52,12 +56,12 @@
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// First notes a first attempt.
+// First records a first attempt.
 func (b *Budget) First() {
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Take allows or denies one extra attempt.
+// Take takes a token for one extra attempt and reports whether there was one.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -66,8 +70,8 @@
 	return true
 }
 
-// SetBurst changes how many extra attempts may go in a row. What was spent stays
-// spent.
+// SetBurst changes the number of extra attempts allowed in a row. A larger burst adds
+// no tokens.
 func (b *Budget) SetBurst(burst float64) {
 	b.burst = burst
 	b.tokens = min(b.tokens, burst)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,7 +8,8 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// TestBudget plays first and extra attempts and states how many extra ones go.
+// TestBudget checks how many extra attempts are allowed after a sequence of first and
+// extra ones.
 func TestBudget(t *testing.T) {
 	tests := map[string]struct {
 		firsts int
--- a/retry/share.go
+++ b/retry/share.go
@@ -1,14 +1,14 @@
 package retry
 
-// Sharer says which one of the servers of a service has a share of the slack.
+// Sharer identifies one of the servers that share the slack of a service.
 type Sharer struct {
-	// Servers is how many there are, Rank how many of them come before it.
+	// Servers is the number of servers, Rank the number of those before this one.
 	Servers, Rank int
 }
 
-// Share returns its part of the service's slack, in whole attempts: half an attempt could
-// never be spent. The parts of all ranks add up to the slack, rounded down. Nobody has a
-// share of a service of which no servers are known.
+// Share returns the server's part of the service's slack, in whole attempts, since a
+// fraction of an attempt could never be spent. The parts of all ranks add up to the slack,
+// rounded down. The share is zero if no servers are known.
 func (s Sharer) Share(slack float64) float64 {
 	if s.Servers <= 0 {
 		return 0
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestShare: the shares of a service's servers are whole, add up to the slack, and differ by
-// one attempt at most.
+// TestShare checks that the shares of a service's servers are whole numbers, add up to the
+// slack, and differ by one attempt at most.
 func TestShare(t *testing.T) {
 	tests := map[string]struct {
 		servers     int
@@ -18,8 +18,8 @@
 	}{
 		"no server is known":          {0, 60, 0, 0},
 		"one server":                  {1, 60, 60, 60},
-		"shares that are whole":       {15, 60, 4, 4},
-		"shares that are not":         {15, 47.6, 3, 4},
+		"evenly divided":              {15, 60, 4, 4},
+		"unevenly divided":            {15, 47.6, 3, 4},
 		"a large service":             {178, 365.5, 2, 3},
 		"less slack than servers":     {2000, 365.5, 0, 1},
 		"one attempt for all":         {2000, 1, 0, 1},
@@ -45,7 +45,8 @@
 	}
 }
 
-// A service of many servers is played in steps, a span of 10 s long.
+// The simulation of a service of many servers runs in time steps, stepsASpan of them in a
+// span.
 const (
 	step       = playSpan / stepsASpan
 	playSpan   = 10 * time.Second
@@ -53,25 +54,26 @@
 	playRatio  = 0.2
 )
 
-// play is a load on a service, of which extra attempts are made at the worst moment.
+// play is a simulated load on a service.
 type play struct {
 	servers int
 	slack   float64
-	// rate says how many requests a second each server is asked first for.
+	// rate returns the number of requests a second for which each server is the first one.
 	rate func(step int) float64
-	// spends says whether all extra attempts are made that servers grant.
+	// spends reports whether all extra attempts that servers grant are made in a step.
 	spends func(step int) bool
 }
 
-// steps counts what happened in each step.
+// steps counts first and extra arrivals in each step.
 type steps struct{ firsts, extras []float64 }
 
-// run plays it.
+// run simulates the load with all servers getting first requests in each step.
 func (p play) run() steps {
 	return p.runAt(func(int, int) bool { return true })
 }
 
-// runAt plays it where only some servers are asked first in a step.
+// runAt simulates the load with only those servers getting first requests in a step for
+// which asked returns true.
 func (p play) runAt(asked func(step, server int) bool) steps {
 	const length = 6 * stepsASpan
 	now := time.Unix(1000, 0)
@@ -105,7 +107,7 @@
 	return s
 }
 
-// excess returns by how much extra arrivals exceed the operators' bound in the worst span.
+// excess returns by how much extra arrivals exceed the operators' limit in the worst span.
 func (s steps) excess(slack float64) float64 {
 	worst := math.Inf(-1)
 	for end := 2 * stepsASpan; end <= len(s.extras); end++ {
@@ -126,8 +128,9 @@
 	return sum
 }
 
-// TestManyServers: a service that spends all at the worst moment keeps the operators' bound
-// however many servers share its slack, and some extra attempts are granted.
+// TestManyServers checks that a service that spends all its extra attempts at the worst
+// moment keeps the operators' limit, however many servers share its slack, and that enough
+// extra attempts are granted.
 func TestManyServers(t *testing.T) {
 	const begin = 3 * stepsASpan
 	even := func(rate float64) func(int) float64 { return func(int) float64 { return rate } }
@@ -143,7 +146,7 @@
 	always := func(int) bool { return true }
 	tests := map[string]struct {
 		play
-		// least is how many extra attempts a span grants at the least.
+		// least is the minimum number of extra attempts that are granted in a span.
 		least float64
 	}{
 		"few servers":                           {play{15, 56, even(5), later}, 47},
@@ -161,22 +164,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := test.run()
-			assert.Assert(t, s.excess(test.slack) <= 0, "%g over the bound", s.excess(test.slack))
+			assert.Assert(t, s.excess(test.slack) <= 0, "%g over the limit", s.excess(test.slack))
 			granted := total(s.extras[begin : begin+stepsASpan])
 			assert.Assert(t, granted >= test.least, "%g granted", granted)
-			t.Logf("%g granted in a span, %g to the bound", granted, -s.excess(test.slack))
+			t.Logf("%g granted in a span, %g below the limit", granted, -s.excess(test.slack))
 		})
 	}
 }
 
-// Two bursts half a span apart, and when what the first one earned is spent: just after it.
+// Two bursts half a span apart, in steps. What the first one earned is spent just after it.
 const (
 	firstBurst  = 3*stepsASpan - 5
 	secondBurst = 3*stepsASpan + stepsASpan/2 + 5
 	burstSteps  = 5
 )
 
-// twoBursts returns a load of nothing else.
+// twoBursts returns a load that consists of the two bursts.
 func twoBursts(slack float64) play {
 	return play{
 		servers: 2000, slack: slack,
@@ -190,29 +193,29 @@
 	}
 }
 
-// TestTwoBursts: the bound holds too where all requests come in two bursts half a span apart,
-// and what the first one earned is spent just after it.
+// TestTwoBursts checks that the limit is also kept where all requests arrive in two bursts
+// half a span apart, and what the first one earned is spent just after it.
 func TestTwoBursts(t *testing.T) {
 	for _, slack := range []float64{430, 0} {
 		excess := twoBursts(slack).run().excess(slack)
-		assert.Assert(t, excess <= 0, "%g over the bound with a slack of %g", excess, slack)
+		assert.Assert(t, excess <= 0, "%g over the limit with a slack of %g", excess, slack)
 	}
 }
 
-// TestLoadThatMoves: the bound holds too where the first burst comes to one half of the servers and
-// the second to the other.
+// TestLoadThatMoves checks that the limit is also kept where the first burst arrives at one half of
+// the servers and the second at the other.
 func TestLoadThatMoves(t *testing.T) {
 	p := twoBursts(430)
 	excess := p.runAt(moves).excess(p.slack)
 	assert.Assert(t, excess <= 0, "%g over the bound", excess)
 }
 
-// TestLoadThatMovesWithoutSlack: the same where the operators allow no slack at all.
+// TestLoadThatMovesWithoutSlack is TestLoadThatMoves where the operators allow no slack at all.
 func TestLoadThatMovesWithoutSlack(t *testing.T) {
 	p := twoBursts(0)
 	excess := p.runAt(moves).excess(p.slack)
 	assert.Assert(t, excess <= 0, "%g over the bound", excess)
 }
 
-// moves has the first burst come to every second server and the other one to the others.
+// moves directs the first burst to every second server and the second burst to the others.
 func moves(step, server int) bool { return (step < secondBurst) == (server%2 == 0) }
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,58 +2,65 @@
 
 import "time"
 
-// Window bounds the extra arrivals at one server. It is not safe for use by several
-// goroutines; its host guards it.
+// Window limits the extra arrivals at one server. It is not safe for concurrent use; the
+// caller must hold a lock.
 type Window struct {
+	// ratio is the fraction of an attempt that each request earns.
 	ratio float64
-	span  time.Duration
-	// slack is the share of this server; saved is what of the ratio is saved up.
+	// span is the length of the sliding window.
+	span time.Duration
+	// slack is the share of this server, in attempts for each span.
 	slack float64
+	// saved is the level of the token bucket, in attempts. It is negative after charges.
 	saved float64
-	// spent holds when the newest attempts that were paid from the slack arrived, oldest
-	// first.
+	// spent holds the arrival times of the newest attempts that were paid from the slack,
+	// oldest first.
 	spent []time.Time
 	// heldRatio and heldSlack count the payments for attempts that have not arrived yet.
 	heldRatio, heldSlack int
-	// since is when the slack may first be used.
+	// since is the time from which the slack may be used.
 	since time.Time
-	// earning is when the ratio that is saved began to be earned.
+	// earning is the time at which the first part of saved was earned.
 	earning time.Time
-	// earned bounds what is spent of the ratio where there is no slack to cover it, and bare says
-	// that no server of the service has any.
+	// earned limits payments from the bucket if the server has no slack to cover them.
 	earned earned
-	bare   bool
+	// noSlack is set if the operators allow the service no slack, so that no server of the
+	// service has any.
+	noSlack bool
 }
 
-// mostSaved bounds how much of the ratio is saved up, in attempts. More would
-// have to be taken off what the slack allows at any time.
-const mostSaved = 2.0
+// maxSaved is the capacity of the token bucket, in attempts. A larger capacity would have
+// to be deducted from the attempts that the slack allows at any time.
+const maxSaved = 2.0
 
-// lapsesIn is the part of a span, one in so many, after which what is saved without slack is
-// lost. So the extra arrivals of a span are paid by its first arrivals and, where the load is
-// even, by an eighth as many from before it: the share of the bound that package inbound keeps
-// back covers these.
-const lapsesIn = 8
+// expiryFraction divides the span: without slack, saved tokens expire after a span divided
+// by this number. So the extra arrivals of a span are paid by its first arrivals and, if the
+// load is even, by an eighth as many from before the span. The share of the limit that package
+// inbound keeps in reserve covers these.
+const expiryFraction = 8
 
-// Payment says what an extra arrival was paid from.
+// Payment is the source that an extra arrival was paid from.
 type Payment string
 
 // Payments of extra arrivals.
 const (
-	// PaidNothing: it was denied.
+	// PaidNothing means that the extra arrival was denied.
 	PaidNothing Payment = ""
-	PaidRatio   Payment = "ratio"
-	PaidSlack   Payment = "slack"
+	// PaidRatio is a payment from the token bucket that requests fill.
+	PaidRatio Payment = "ratio"
+	// PaidSlack is a payment from the server's share of the slack.
+	PaidSlack Payment = "slack"
 )
 
-// NewWindow returns the account of a server whose process begins now. Its slack
-// can be used a span later, since the process before it may have spent it.
+// NewWindow returns the window of a server whose process starts now. Its slack can be
+// used a span later, since the previous process may have spent it.
 func NewWindow(now time.Time, ratio float64, span time.Duration) *Window {
 	return &Window{ratio: ratio, span: span, since: now.Add(span)}
 }
 
-// SetBounds changes the ratio and the span. Where the span grows, what was spent within
-// it may be forgotten already, so that the slack can be used a new span later.
+// SetBounds changes the ratio and the span. If the span grows, some of the attempts spent
+// within the new one may have been dropped already, so the slack can be used only after
+// another full span.
 func (w *Window) SetBounds(now time.Time, ratio float64, span time.Duration) {
 	if span > w.span {
 		w.since = now.Add(span)
@@ -61,58 +68,59 @@
 	w.ratio, w.span = ratio, span
 }
 
-// SetSlack states how many extra arrivals of each span are this server's.
+// SetSlack sets the server's share of the slack, in extra arrivals for each span.
 func (w *Window) SetSlack(slack float64) {
 	w.slack = slack
-	w.saved = min(w.saved, w.maySave())
+	w.saved = min(w.saved, w.saveLimit())
 }
 
-// SetBare states whether the operators allow the service no slack at all.
-func (w *Window) SetBare(bare bool) { w.bare = bare }
+// SetBare sets whether the operators allow the service no slack at all.
+func (w *Window) SetBare(noSlack bool) { w.noSlack = noSlack }
 
-// mostSaved returns how much of the ratio may be saved: one attempt at least, for a moment
-// where the slack allows none.
-func (w *Window) mostSaved() float64 { return max(min(w.slack, mostSaved), 1) }
+// capacity returns the capacity of the token bucket, in attempts: at least one, which expires
+// soon if the slack allows none.
+func (w *Window) capacity() float64 { return max(min(w.slack, maxSaved), 1) }
 
-// maySave returns how much of the ratio may be saved besides the payments for attempts that
-// have not arrived yet.
-func (w *Window) maySave() float64 { return w.mostSaved() - float64(w.heldRatio) }
+// saveLimit returns the maximum of saved: the capacity less the payments for attempts that have
+// not arrived yet.
+func (w *Window) saveLimit() float64 { return w.capacity() - float64(w.heldRatio) }
 
-// lapse drops what was saved without slack and too long ago.
-func (w *Window) lapse(now time.Time) {
-	if w.slack < 1 && now.Sub(w.earning) > w.span/lapsesIn {
+// expire drops what was saved too long ago by a server without slack.
+func (w *Window) expire(now time.Time) {
+	if w.slack < 1 && now.Sub(w.earning) > w.span/expiryFraction {
 		w.saved = min(w.saved, 0)
 	}
 }
 
-// First notes a request whose first server this is.
+// First records a request whose first server this is.
 func (w *Window) First(now time.Time) {
-	w.lapse(now)
+	w.expire(now)
 	if w.saved <= 0 && w.heldRatio == 0 {
 		w.earning = now
 	}
-	w.saved = min(w.saved+w.ratio, w.maySave())
+	w.saved = min(w.saved+w.ratio, w.saveLimit())
 	w.earned.first(now, w.span)
 }
 
-// savedLeft reports whether an attempt can be paid from what is saved.
+// savedLeft reports whether an attempt can be paid from the token bucket.
 func (w *Window) savedLeft(now time.Time) bool {
-	w.lapse(now)
-	return w.saved >= 1 && (w.slack >= 1 || w.earned.covers(now, w.ratio, w.span, w.bare))
+	w.expire(now)
+	return w.saved >= 1 && (w.slack >= 1 || w.earned.covers(now, w.ratio, w.span, w.noSlack))
 }
 
-// Left reports whether an extra arrival would be paid for.
+// Left reports whether an extra arrival would be granted now.
 func (w *Window) Left(now time.Time) bool {
 	return w.savedLeft(now) || w.slackLeft(now)
 }
 
-// slackLeft reports whether the slack allows one more.
+// slackLeft reports whether an attempt can be paid from the slack.
 func (w *Window) slackLeft(now time.Time) bool {
-	w.forget(now)
-	return !now.Before(w.since) && float64(len(w.spent)+w.heldSlack+1) <= w.slack-w.mostSaved()
+	w.dropOld(now)
+	return !now.Before(w.since) && float64(len(w.spent)+w.heldSlack+1) <= w.slack-w.capacity()
 }
 
-// Take pays for an extra arrival, or denies it.
+// Take pays for an extra arrival, or denies it by returning PaidNothing. A payment must
+// be completed by Arrived or Return.
 func (w *Window) Take(now time.Time) Payment {
 	if w.savedLeft(now) {
 		w.saved--
@@ -127,7 +135,7 @@
 	return PaidSlack
 }
 
-// Arrived notes that an attempt that was paid for has arrived.
+// Arrived records that an attempt that was paid for has arrived.
 func (w *Window) Arrived(now time.Time, p Payment) {
 	switch p {
 	case PaidRatio:
@@ -139,25 +147,25 @@
 	}
 }
 
-// Charge counts an extra arrival that cannot be denied any more: later ones are
-// until it is earned.
+// Charge counts an extra arrival that can no longer be denied. It may make the bucket
+// negative; the debt is earned by later requests before the bucket grants attempts again.
 func (w *Window) Charge() { w.saved-- }
 
-// Return takes back the payment of an arrival that did not come about.
+// Return refunds the payment for an attempt that will not arrive.
 func (w *Window) Return(p Payment) {
 	switch p {
 	case PaidRatio:
 		w.heldRatio--
-		w.earned.giveBack()
-		w.saved = min(w.saved+1, w.maySave())
+		w.earned.refund()
+		w.saved = min(w.saved+1, w.saveLimit())
 	case PaidSlack:
 		w.heldSlack--
 	case PaidNothing:
 	}
 }
 
-// forget drops what was spent a span ago.
-func (w *Window) forget(now time.Time) {
+// dropOld drops attempts that arrived more than a span ago from spent.
+func (w *Window) dropOld(now time.Time) {
 	n := 0
 	for n < len(w.spent) && now.Sub(w.spent[n]) > w.span {
 		n++
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -11,18 +11,18 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// span is that of all windows here.
+// span is the span of all windows in this file.
 const span = 10 * time.Second
 
-// arrival is one at some server of a service.
+// arrival is an attempt that arrives at some server of a service.
 type arrival struct {
 	at    time.Time
 	extra bool
 }
 
-// most returns the largest excess of extra arrivals over what the rule allows, in
-// any span that ends with an arrival. The arrivals are in the order of time.
-func most(arrivals []arrival, ratio, slack float64) float64 {
+// maxExcess returns the largest excess of extra arrivals over what the limit allows, in
+// any span that ends with an arrival. The arrivals are ordered by time.
+func maxExcess(arrivals []arrival, ratio, slack float64) float64 {
 	worst, firsts, extras := 0.0, 0.0, 0.0
 	count := func(a arrival, by float64) {
 		if a.extra {
@@ -38,7 +38,7 @@
 			count(arrivals[oldest], -1)
 			oldest++
 		}
-		// What else comes at this moment belongs to the span as well.
+		// Other arrivals at the same moment belong to the span as well.
 		if i+1 == len(arrivals) || arrivals[i+1].at.After(newest.at) {
 			worst = max(worst, extras-ratio*firsts-slack)
 		}
@@ -46,8 +46,8 @@
 	return worst
 }
 
-// TestRuleHolds: servers of one service that know nothing of each other get
-// arrivals at the worst moments; together they keep the rule in each span.
+// TestRuleHolds checks that servers of one service that do not communicate keep the limit
+// together in each span, with random bursts of arrivals.
 func TestRuleHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack = 0.2, 20.0
@@ -78,32 +78,33 @@
 				arrivals = append(arrivals, arrival{now, true})
 			}
 		}
-		assert.Assert(t, most(arrivals, ratio, slack) <= 0, "%.1f over the bound", most(arrivals, ratio, slack))
+		assert.Assert(t, maxExcess(arrivals, ratio, slack) <= 0, "%.1f over the limit", maxExcess(arrivals, ratio, slack))
 	})
 }
 
-// TestWindow plays one server's arrivals and states how many extra ones go then.
+// TestWindow checks how many extra arrivals are granted after a sequence of arrivals at
+// one server.
 func TestWindow(t *testing.T) {
 	tests := map[string]struct {
 		play  func(w *retry.Window, now time.Time)
 		after time.Duration
 		extra int
 	}{
-		"a process that has just begun":        {func(*retry.Window, time.Time) {}, 0, 0},
-		"its slack later":                      {func(*retry.Window, time.Time) {}, span, 6 - 2},
-		"what was earned":                      {func(w *retry.Window, now time.Time) { firsts(w, now, 5) }, 0, 1},
-		"what was earned, up to a bound":       {func(w *retry.Window, now time.Time) { firsts(w, now, 500) }, 0, 2},
-		"both":                                 {func(w *retry.Window, now time.Time) { firsts(w, now, 500) }, span, 6},
-		"slack that was spent":                 {func(w *retry.Window, now time.Time) { takeAll(w, now.Add(span)) }, 2*span - time.Second, 0},
-		"slack that was spent long ago":        {func(w *retry.Window, now time.Time) { takeAll(w, now.Add(span)) }, 2*span + time.Second, 4},
-		"a charge is earned first":             {func(w *retry.Window, now time.Time) { w.Charge(); firsts(w, now, 10) }, 0, 1},
-		"an attempt that arrives late":         {func(w *retry.Window, now time.Time) { arriveLate(w, now.Add(span)) }, 2*span + time.Second, 3},
-		"it is free again a span later":        {func(w *retry.Window, now time.Time) { arriveLate(w, now.Add(span)) }, 3*span - time.Second, 4},
-		"the payment of another is returned":   {func(w *retry.Window, now time.Time) { returnAnother(w, now.Add(span)) }, 2*span + 2*time.Second, 4 - 1},
-		"attempts on their way are saved":      {func(w *retry.Window, now time.Time) { firsts(w, now, 5); w.Take(now); firsts(w, now, 500) }, 0, 1},
-		"a payment that was returned":          {func(w *retry.Window, now time.Time) { firsts(w, now, 5); w.Return(w.Take(now)) }, 0, 1},
-		"a smaller share takes away":           {func(w *retry.Window, now time.Time) { firsts(w, now, 500); w.SetSlack(1) }, 0, 1},
-		"a larger share gives nothing at once": {func(w *retry.Window, _ time.Time) { w.SetSlack(60) }, 0, 0},
+		"a process that has just started":          {func(*retry.Window, time.Time) {}, 0, 0},
+		"its slack later":                          {func(*retry.Window, time.Time) {}, span, 6 - 2},
+		"what was earned":                          {func(w *retry.Window, now time.Time) { firsts(w, now, 5) }, 0, 1},
+		"what was earned, up to a limit":           {func(w *retry.Window, now time.Time) { firsts(w, now, 500) }, 0, 2},
+		"both":                                     {func(w *retry.Window, now time.Time) { firsts(w, now, 500) }, span, 6},
+		"slack that was spent":                     {func(w *retry.Window, now time.Time) { takeAll(w, now.Add(span)) }, 2*span - time.Second, 0},
+		"slack that was spent long ago":            {func(w *retry.Window, now time.Time) { takeAll(w, now.Add(span)) }, 2*span + time.Second, 4},
+		"a charge is earned first":                 {func(w *retry.Window, now time.Time) { w.Charge(); firsts(w, now, 10) }, 0, 1},
+		"an attempt that arrives late":             {func(w *retry.Window, now time.Time) { arriveLate(w, now.Add(span)) }, 2*span + time.Second, 3},
+		"its slack is freed a span later":          {func(w *retry.Window, now time.Time) { arriveLate(w, now.Add(span)) }, 3*span - time.Second, 4},
+		"the payment of another is refunded":       {func(w *retry.Window, now time.Time) { returnAnother(w, now.Add(span)) }, 2*span + 2*time.Second, 4 - 1},
+		"attempts not arrived yet count as saved":  {func(w *retry.Window, now time.Time) { firsts(w, now, 5); w.Take(now); firsts(w, now, 500) }, 0, 1},
+		"a payment that was refunded":              {func(w *retry.Window, now time.Time) { firsts(w, now, 5); w.Return(w.Take(now)) }, 0, 1},
+		"a smaller share takes away":               {func(w *retry.Window, now time.Time) { firsts(w, now, 500); w.SetSlack(1) }, 0, 1},
+		"a larger share gives nothing immediately": {func(w *retry.Window, _ time.Time) { w.SetSlack(60) }, 0, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -116,13 +117,12 @@
 	}
 }
 
-// arriveLate takes one extra arrival, which comes most of a span later.
+// arriveLate takes one extra arrival, which arrives most of a span later.
 func arriveLate(w *retry.Window, now time.Time) {
 	w.Arrived(now.Add(span-2*time.Second), w.Take(now))
 }
 
-// returnAnother takes an extra arrival that comes later and returns one that was taken
-// before it.
+// returnAnother takes two extra arrivals, returns the first and lets the second arrive.
 func returnAnother(w *retry.Window, now time.Time) {
 	unused, used := w.Take(now), w.Take(now.Add(4*time.Second))
 	w.Return(unused)
@@ -135,8 +135,8 @@
 	}
 }
 
-// takeAll takes extra arrivals, which come at once, until one is denied and returns how many
-// went.
+// takeAll takes extra arrivals, which arrive immediately, until one is denied and returns
+// the number granted.
 func takeAll(w *retry.Window, now time.Time) int {
 	n := 0
 	for payment := w.Take(now); payment != retry.PaidNothing; payment = w.Take(now) {
@@ -146,8 +146,8 @@
 	return n
 }
 
-// TestBoundsChange: what was spent before the bounds changed counts on, also where the
-// new span is longer and some of it was forgotten.
+// TestBoundsChange checks that what was spent before the bounds changed still counts, also
+// where the new span is longer and some of it was dropped already.
 func TestBoundsChange(t *testing.T) {
 	start := time.Unix(1000, 0)
 	tests := map[string]struct {
@@ -158,7 +158,7 @@
 		"the same span, what was spent is within it": {span, span + span/2, false},
 		"the same span, what was spent lies before":  {span, span + span + time.Second, true},
 		"a shorter span ends sooner":                 {span / 4, span + span/2, true},
-		"a longer span begins anew":                  {4 * span, span + 3*span, false},
+		"a longer span starts again":                 {4 * span, span + 3*span, false},
 		"a longer span is over":                      {4 * span, span + 5*span + time.Second, true},
 	}
 	for name, test := range tests {
