--- a/outlier/confirm.go
+++ b/outlier/confirm.go
@@ -6,45 +6,45 @@
 	"slatewind.example/slatewind"
 )
 
-// An ingress that prefers its own data centre hears little of the other
-// servers, so its picture of their present is old just when it matters: at the
-// onset of trouble that all share. Before an ejection it therefore asks a few
-// of them for their newest outcomes and judges the suspect's newest outcomes
-// once more against those. That costs a round trip for each suspicion and
-// nothing in between.
+// An ingress that prefers its own data centre receives few outcomes of the other
+// servers, so its data about them is stale when it matters most: at the onset of a
+// slow-down that affects all servers. Before an ejection it therefore requests the
+// newest outcomes of a few other servers and compares the suspect's newest outcomes
+// with those. That costs a round trip for each suspicion and nothing otherwise.
 const (
-	// freshFor is how long a view of a server counts as its present.
+	// freshFor is how long the last data about a server counts as current.
 	freshFor = 300 * time.Millisecond
-	// confirmWait is how long answers are waited for; then the suspicion is
-	// judged with what is known.
+	// confirmWait is the timeout for fresh data; after it the suspicion is
+	// judged by the data at hand.
 	confirmWait = 500 * time.Millisecond
-	// askServers is how many other servers are asked.
-	askServers = 5
+	// refreshServers is the number of other servers whose data is refreshed.
+	refreshServers = 5
 )
 
-// Questions returns the servers whose present is wanted, and forgets them. The
-// host brings their digests and then calls Confirm.
+// Questions returns the servers whose current digests are needed to confirm a
+// suspicion, and clears the list. The caller fetches the digests, observes their
+// outcomes and then calls Confirm.
 func (d *Detector) Questions() []string {
-	questions := d.questions
-	d.questions = nil
-	return questions
+	requests := d.refreshRequests
+	d.refreshRequests = nil
+	return requests
 }
 
-// Confirm judges all suspicions that waited for fresh views.
+// Confirm judges all suspicions that wait for fresh data.
 func (d *Detector) Confirm(now time.Time) {
 	for i, s := range d.servers {
-		if !s.asked.IsZero() {
+		if !s.requestedAt.IsZero() {
 			d.confirm(now, i)
 		}
 	}
 }
 
-// suspected handles a score that reached the threshold: with a fresh view of the
-// others it is judged at once, else the view is asked for.
+// suspected handles a score that reached the threshold: if the data about the other
+// servers is fresh, the suspicion is judged immediately, otherwise fresh data is requested.
 func (d *Detector) suspected(now time.Time, i int) {
 	s := d.servers[i]
-	if _, name := d.judged(s); name == chartNames[chartPath] {
-		// The path is this ingress's own; others cannot tell about it.
+	if _, name := d.effectiveScore(s); name == chartNames[chartPath] {
+		// Only this ingress observes its own path; digests do not cover it.
 		d.eject(now, s)
 		return
 	}
@@ -53,16 +53,16 @@
 		d.confirm(now, i)
 		return
 	}
-	if s.asked.IsZero() {
-		s.asked = now
-		d.quiet = false
-		d.questions = append(d.questions, stale...)
-		d.questions = append(d.questions, s.Name)
+	if s.requestedAt.IsZero() {
+		s.requestedAt = now
+		d.idle = false
+		d.refreshRequests = append(d.refreshRequests, stale...)
+		d.refreshRequests = append(d.refreshRequests, s.Name)
 	}
 }
 
-// staleOthers returns the servers that should be asked before a server is
-// judged: none if enough others were heard of just now.
+// staleOthers returns the servers whose data should be refreshed before a server is
+// judged: none if the data of enough other servers is fresh.
 func (d *Detector) staleOthers(now time.Time, i int) []string {
 	var stale []string
 	fresh, others := 0, 0
@@ -71,37 +71,38 @@
 			continue
 		}
 		others++
-		if now.Sub(s.heard) <= freshFor {
+		if now.Sub(s.updatedAt) <= freshFor {
 			fresh++
-		} else if len(stale) < askServers {
+		} else if len(stale) < refreshServers {
 			stale = append(stale, s.Name)
 		}
 	}
-	if fresh >= min(others, askServers) {
+	if fresh >= min(others, refreshServers) {
 		return nil
 	}
 	return stale
 }
 
-// confirm judges the newest outcomes of a server against the others' present.
+// confirm compares the newest outcomes of a server with the current data about the
+// other servers and ejects it if its score still reaches the threshold.
 func (d *Detector) confirm(now time.Time, i int) {
 	s := d.servers[i]
-	s.asked = time.Time{}
+	s.requestedAt = time.Time{}
 	if !s.Serving() {
 		return
 	}
 	d.rescore(i)
-	if score, _ := d.judged(s); score >= d.caution {
+	if score, _ := d.effectiveScore(s); score >= d.caution {
 		d.eject(now, s)
 	}
 }
 
-// rescore computes the scores anew from the newest outcomes.
+// rescore recomputes the scores from the newest outcomes.
 func (d *Detector) rescore(i int) {
 	s := d.servers[i]
 	baseline, known := d.otherMean(i, window)
-	// At the onset of shared trouble the newest few of the others' requests
-	// show more of it than the whole window.
+	// At the onset of a common slow-down the newest few requests of the other
+	// servers show more of it than the whole window.
 	newest, _ := d.otherMean(i, minWindow)
 	baseline = max(baseline, newest)
 	errors := d.otherErrors(i)
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -1,18 +1,19 @@
-// Package outlier decides which servers of a service are sick.
+// Package outlier detects unhealthy servers of a service and ejects them.
 //
-// Every request is evidence. Its log latency is compared with that of the
-// service's other servers in the same moment, its error with their share of
-// errors, and the log-likelihood ratio "sick against healthy" is added to the
-// server's score. A score above the threshold ejects the server. The threshold
-// is the service's caution, the log of the number of requests between two
-// false alarms, and is the one knob: low finds sick servers sooner, high spares
-// healthy ones. What all servers share moves the comparison too, so a common
-// slow-down ejects nobody.
+// Each request is evidence. Its log latency is compared with that of the service's
+// other servers at the same time, its result with their share of errors, and the
+// log-likelihood ratio of "unhealthy" against "healthy" is added to the server's
+// score. A server whose score reaches the threshold is ejected. The threshold is the
+// service's caution, the log of the number of requests between two false alarms. It
+// is the only parameter: a low value finds unhealthy servers sooner, a high value
+// avoids ejecting healthy ones. A slow-down of all servers changes the baseline too
+// and ejects none.
 //
-// Ejection never takes capacity below the floor: the worst go first, a worse
-// one takes a milder one's place, and past the floor a sick server only gets
-// less. An ejected server comes back through single trial requests and then a
-// slow ramp; one that flaps waits longer each time.
+// Ejection never reduces capacity below the floor. At the floor, an unhealthy server
+// is ejected only in place of a less severe one, which is reinstated; otherwise it
+// stays in service at a lower weight. An ejected server returns through single trial
+// requests and then a gradual ramp; the wait doubles with each ejection of a server
+// that is ejected repeatedly.
 package outlier
 
 import (
@@ -22,62 +23,70 @@
 	"slatewind.example/slatewind"
 )
 
-// Times of the way back.
+// Times of the return to service.
 const (
-	// firstWait is how long a server is out at the first ejection.
+	// firstWait is the duration of the first ejection.
 	firstWait = 5 * time.Second
-	// maxWait bounds the wait, which doubles with each ejection.
+	// maxWait limits the duration, which doubles with each ejection.
 	maxWait = 5 * time.Minute
-	// forgive is how long a server must be healthy until its next ejection
-	// counts as the first again.
-	forgive = 10 * time.Minute
-	// rampTime is how long the share of a returned or cold server grows.
+	// forgiveAfter is how long a server must be healthy for its next ejection
+	// to count as the first again.
+	forgiveAfter = 10 * time.Minute
+	// rampTime is the duration of the ramp of a returned or newly started server.
 	rampTime = 10 * time.Second
 )
 
-// Weights of servers that get less than their full share.
+// Weights of servers that get less than their full share: that of a suspect server
+// and the one at the beginning of the ramp.
 const (
 	suspectWeight = 0.25
 	rampWeight    = 0.1
 )
 
-// Bounds of the comparison.
+// Parameters of the comparison.
 const (
-	// window is how many of a server's newest requests stand for its present.
+	// window is the number of a server's newest requests that represent its
+	// current latency.
 	window = 8
-	// errorWindow is the same for errors.
+	// errorWindow is the number of its newest results for the share of errors.
 	errorWindow = 32
-	// minClass is how many requests of a class are seen before it is judged.
+	// minClass is the number of requests of a class that are needed before
+	// requests of the class are judged.
 	minClass = 20
-	// minWindow is how many requests of other servers a comparison needs.
+	// minWindow is the number of requests that another server needs to be part
+	// of a comparison.
 	minWindow = 4
-	// classMemory is about how many requests the mean of a class remembers.
+	// classMemory is the number of requests over which the mean of a class is
+	// averaged, approximately.
 	classMemory = 200
 	// spreadMemory is the same for the spread.
 	spreadMemory = 500
-	minSpread    = 0.25
-	maxSpread    = 1.2
-	firstSpread  = 0.6
+	// minSpread, maxSpread and firstSpread are the limits and the initial value
+	// of the standard deviation of log latencies.
+	minSpread   = 0.25
+	maxSpread   = 1.2
+	firstSpread = 0.6
 	// rejectAt is the share of the threshold at which a trial fails.
 	rejectAt = 0.4
-	// acceptAt is the evidence of health, in nats, that ends a trial.
+	// acceptAt is the evidence of health, in nats, at which a trial succeeds.
 	acceptAt = 3.0
-	// clearAt is the share of the threshold under which suspicion ends.
+	// clearAt is the share of the threshold below which a suspicion ends.
 	clearAt = 0.5
-	// scoreCap bounds scores, as a multiple of the threshold.
+	// scoreCap limits scores, as a multiple of the threshold.
 	scoreCap = 1.5
-	// Severities, on the scale of log latency above the others': an error, an
-	// unanswered request, and the greatest that counts.
+	// Severities, in log latency above that of the other servers: of an error,
+	// of an unanswered request, and the maximum.
 	errorSeverity   = 3.0
 	overdueSeverity = 2.0
 	maxSeverity     = 4.0
-	// suspicionRatio is what a failed probe adds. Probes only raise suspicion.
-	suspicionRatio = 1.0
-	// suspicionCap is the share of the threshold that probes alone can reach.
-	suspicionCap = 0.6
+	// probeRatio is what a failed probe adds to the score. Successful probes
+	// subtract nothing.
+	probeRatio = 1.0
+	// probeCap is the share of the threshold that failed probes alone can reach.
+	probeCap = 0.6
 )
 
-// Charts of a server, as the names of its scores.
+// Charts of a server: latency, errors, and replies on the path from this ingress.
 const (
 	chartSlow = iota
 	chartFailing
@@ -87,43 +96,48 @@
 
 var chartNames = [charts]string{"slow", "failing", "path"}
 
-// Server is what the detector knows of one server.
+// Server is the detector's state of one server.
 type Server struct {
 	Name  string
 	State slatewind.ServerState
-	// Leaving servers get no new work and are no capacity.
+	// Leaving servers get no new work and do not count as capacity.
 	Leaving bool
-	// Unreachable servers are no capacity either.
+	// Unreachable servers do not count as capacity either.
 	Unreachable bool
 
 	scores [charts]chart
-	// recent holds the newest residuals: log latency less the class's mean.
+	// recent is a ring of the newest residuals: log latency less the mean of the
+	// class. recentN is their number, recentAt the next index to write.
 	recent   [window]float32
 	recentN  int
 	recentAt int
-	// history holds the newest outcomes, to judge them anew against a fresh
-	// view of the other servers.
+	// history holds the newest outcomes, for judging them again once there is fresh
+	// data about the other servers.
 	history Ring
-	// heard is when the server's present was last heard of.
-	heard time.Time
-	// asked is when fresh views were asked for, to confirm a suspicion.
-	asked time.Time
-	// errors holds the newest results, one bit each, set for an error.
+	// updatedAt is the time of the last data about the server.
+	updatedAt time.Time
+	// requestedAt is when fresh data was requested to confirm a suspicion; zero if no
+	// suspicion waits for it.
+	requestedAt time.Time
+	// errors holds the newest results, one bit each, set for an error; errorsN is
+	// their number.
 	errors  uint32
 	errorsN int
 	// good is the evidence of health since the beginning of a trial, in nats.
 	good float64
-	// until is when an ejected server gets its first trial request.
+	// until is when an ejected server may get its first trial request.
 	until time.Time
 	// rampFrom is when the ramp began.
 	rampFrom time.Time
-	// ejected counts ejections that are not yet forgiven.
+	// ejected counts the ejections since the last healthy period of forgiveAfter.
 	ejected int
-	// healthy is since when the server has been healthy.
+	// healthy is the time since which the server has been healthy.
 	healthy time.Time
-	// severity is how bad the newest requests were; it orders sick servers.
+	// severity is a moving average over the newest requests, in log latency above
+	// that of the other servers; it orders unhealthy servers.
 	severity float64
-	// excess is how far the newest log latency lay from the others'.
+	// excess is the difference of the newest log latency from that of the other
+	// servers.
 	excess float64
 }
 
@@ -151,7 +165,7 @@
 	s.scores = [charts]chart{}
 }
 
-// class is what is known of requests that cost alike.
+// class holds the latency statistics of requests of similar cost.
 type class struct {
 	// mean of the log latency in nanoseconds, over about classMemory requests.
 	mean float64
@@ -159,8 +173,8 @@
 	n int
 }
 
-// Detector judges the servers of one service. It is not safe for use by
-// several goroutines; its host guards it.
+// Detector judges the servers of one service. It is not safe for concurrent use; the
+// caller must hold a lock.
 type Detector struct {
 	service string
 	floor   int
@@ -168,34 +182,35 @@
 	servers []*Server
 	index   map[string]int
 	classes map[uint8]*class
-	// spread is the variance of healthy residuals.
-	spread    float64
+	// variance is that of the residuals of healthy servers.
+	variance  float64
 	decisions []slatewind.Decision
-	scratch   []float64
-	// questions names the servers whose views are wanted to confirm a
+	// scratch is reused by otherMedian.
+	scratch []float64
+	// refreshRequests names the servers whose current digests are needed to confirm a
 	// suspicion.
-	questions []string
-	// quiet: every server is healthy and nothing is asked, so that a tick has
-	// nothing to do.
-	quiet bool
-	// selfSick: most servers fail on this ingress's paths, so it is the path
-	// of the ingress that is sick.
-	selfSick bool
+	refreshRequests []string
+	// idle is set if all servers are healthy and no suspicion waits for fresh data,
+	// so that a tick has nothing to do.
+	idle bool
+	// selfUnhealthy is set if most servers fail on the paths from this ingress, which
+	// means that the path of the ingress itself is unhealthy.
+	selfUnhealthy bool
 }
 
-// NewDetector returns a detector without servers; Update brings them and the
-// bounds.
+// NewDetector returns a detector without servers. Update sets the servers, the floor
+// and the threshold.
 func NewDetector(service string) *Detector {
 	return &Detector{
-		service: service,
-		index:   map[string]int{},
-		spread:  firstSpread * firstSpread,
-		classes: map[uint8]*class{},
+		service:  service,
+		index:    map[string]int{},
+		variance: firstSpread * firstSpread,
+		classes:  map[uint8]*class{},
 	}
 }
 
-// Update takes a new list of servers and new bounds. Servers that stay keep
-// their state; new ones begin on the ramp if others were there before.
+// Update sets the servers, the floor and the threshold. Servers that remain keep their
+// state; new ones begin on the ramp if there were others before.
 func (d *Detector) Update(now time.Time, floor int, caution float64, names []string) {
 	d.floor = floor
 	d.caution = caution
@@ -216,7 +231,7 @@
 	}
 	d.servers = servers
 	d.index = index
-	d.quiet = false
+	d.idle = false
 	d.keepFloor(now)
 }
 
@@ -234,7 +249,7 @@
 	return i
 }
 
-// Weight returns the share of a server: 1 in full, 0 nothing.
+// Weight returns the share of traffic for a server, from 0 for none to 1 for a full share.
 func (d *Detector) Weight(now time.Time, i int) float64 {
 	s := d.servers[i]
 	if s.Leaving || !s.Serving() {
@@ -254,7 +269,7 @@
 	return min(share, 1)
 }
 
-// SetLeaving notes whether a server leaves.
+// SetLeaving records whether a server is leaving.
 func (d *Detector) SetLeaving(now time.Time, server string, leaving bool) {
 	i := d.Find(server)
 	if i < 0 || d.servers[i].Leaving == leaving {
@@ -267,7 +282,7 @@
 	d.keepFloor(now)
 }
 
-// SetReachable notes whether the server's sidecar can be reached.
+// SetReachable records whether the server's sidecar can be reached.
 func (d *Detector) SetReachable(now time.Time, server string, reachable bool) {
 	i := d.Find(server)
 	if i < 0 || d.servers[i].Unreachable == !reachable {
@@ -277,8 +292,8 @@
 	d.keepFloor(now)
 }
 
-// Restarted notes that a server's sidecar is a new process: what was known of
-// the server is void, and it warms up on the ramp.
+// Restarted records that a server's sidecar is a new process: the data about the server
+// is discarded, and it begins on the ramp unless it is out of service.
 func (d *Detector) Restarted(now time.Time, server string) {
 	i := d.Find(server)
 	if i < 0 {
@@ -290,27 +305,28 @@
 	s.errorsN = 0
 	s.history = Ring{}
 	if s.State != slatewind.ServerEjected && s.State != slatewind.ServerTrial {
-		d.ramp(now, s, "its sidecar started anew")
+		d.ramp(now, s, "its sidecar restarted")
 	}
 }
 
-// Tick moves servers along whose waiting is over.
+// Tick applies the changes of state that are due: the timeout of a suspicion, the end of
+// an ejection and the end of a ramp.
 func (d *Detector) Tick(now time.Time) {
-	if d.quiet {
+	if d.idle {
 		return
 	}
-	quiet := true
+	idle := true
 	for i, s := range d.servers {
 		d.advance(now, i)
-		quiet = quiet && s.State == slatewind.ServerHealthy && s.asked.IsZero()
+		idle = idle && s.State == slatewind.ServerHealthy && s.requestedAt.IsZero()
 	}
 	d.keepFloor(now)
-	d.quiet = quiet
+	d.idle = idle
 }
 
 func (d *Detector) advance(now time.Time, i int) {
 	s := d.servers[i]
-	if !s.asked.IsZero() && now.Sub(s.asked) >= confirmWait {
+	if !s.requestedAt.IsZero() && now.Sub(s.requestedAt) >= confirmWait {
 		d.confirm(now, i)
 	}
 	switch s.State {
@@ -337,22 +353,22 @@
 	return decisions
 }
 
-// OverdueAfter returns the time after which an unanswered request of a class is
-// evidence against its server, or zero while too little is known.
+// OverdueAfter returns the time after which an unanswered request of a class counts as
+// evidence against its server, or zero if too few requests of the class were observed.
 func (d *Detector) OverdueAfter(classID uint8) time.Duration {
 	c := d.classes[classID]
 	if c == nil || c.n < minClass {
 		return 0
 	}
-	return time.Duration(math.Exp(c.mean + overdueSpreads*math.Sqrt(d.spread)))
+	return time.Duration(math.Exp(c.mean + overdueSigmas*math.Sqrt(d.variance)))
 }
 
-// overdueSpreads is how many spreads above its mean a request is overdue; one
-// healthy request in about a hundred is.
-const overdueSpreads = 2.33
+// overdueSigmas is the number of standard deviations above the mean at which a request
+// is overdue. About one healthy request in a hundred exceeds it.
+const overdueSigmas = 2.33
 
 func (d *Detector) decide(now time.Time, kind slatewind.DecisionKind, server, reason, evidence string) {
-	d.quiet = false
+	d.idle = false
 	d.decisions = append(d.decisions, slatewind.Decision{
 		Time: now, Kind: kind, Service: d.service, Server: server, Reason: reason, Evidence: evidence,
 	})
--- a/outlier/eject.go
+++ b/outlier/eject.go
@@ -9,14 +9,14 @@
 	"slatewind.example/slatewind"
 )
 
-// severityMargin is how much worse a server must be to take a milder one's
-// place outside; without it two alike would change places with each request.
+// severityMargin is the difference in severity needed to eject a server in place of a
+// less severe one. Without it two similar servers would swap with each request.
 const severityMargin = 0.5
 
-// judge acts on the scores of a server after new evidence.
+// judge applies the scores of a server to its state after new evidence.
 func (d *Detector) judge(now time.Time, i int) {
 	s := d.servers[i]
-	score, _ := d.judged(s)
+	score, _ := d.effectiveScore(s)
 	switch s.State {
 	case slatewind.ServerTrial:
 		d.judgeTrial(now, s, score)
@@ -29,12 +29,12 @@
 	}
 }
 
-// judged returns the highest score that may be acted on, and its chart. While
-// this ingress suspects itself, its own paths do not count.
-func (d *Detector) judged(s *Server) (float64, string) {
+// effectiveScore returns the highest score of a server that counts, and the name of its
+// chart. While this ingress suspects its own path, the path chart does not count.
+func (d *Detector) effectiveScore(s *Server) (float64, string) {
 	best, name := 0.0, chartNames[chartSlow]
 	for chart := range s.scores {
-		if chart == chartPath && d.selfSick {
+		if chart == chartPath && d.selfUnhealthy {
 			continue
 		}
 		if score := s.scores[chart].score; score > best {
@@ -66,27 +66,27 @@
 	}
 }
 
-// eject sets a server aside, or lowers its weight where the floor forbids it.
+// eject takes a server out of service, or lowers its weight if the floor forbids that.
 func (d *Detector) eject(now time.Time, s *Server) {
 	if !s.capacity() || d.capacity() > d.floor {
 		d.takeOut(now, s, "its score reached the threshold")
 		return
 	}
-	if milder := d.mildestOut(); milder != nil && milder.severity+severityMargin < s.severity {
-		d.takeOut(now, s, "its score is worse than that of "+milder.Name+", which comes back for the floor")
-		d.reinstate(now, milder)
+	if lessSevere := d.leastSevereOut(); lessSevere != nil && lessSevere.severity+severityMargin < s.severity {
+		d.takeOut(now, s, "its score is worse than that of "+lessSevere.Name+", which is reinstated to keep the floor")
+		d.reinstate(now, lessSevere)
 		return
 	}
 	if s.State == slatewind.ServerSuspect {
 		return
 	}
 	s.State = slatewind.ServerSuspect
-	d.decide(now, slatewind.DecisionSuspect, s.Name, "its score reached the threshold, the floor keeps it in service at less weight", d.evidence(s))
+	d.decide(now, slatewind.DecisionSuspect, s.Name, "its score reached the threshold, the floor keeps it in service at a lower weight", d.evidence(s))
 }
 
 func (d *Detector) takeOut(now time.Time, s *Server, reason string) {
 	evidence := d.evidence(s)
-	if s.State == slatewind.ServerHealthy && now.Sub(s.healthy) >= forgive {
+	if s.State == slatewind.ServerHealthy && now.Sub(s.healthy) >= forgiveAfter {
 		s.ejected = 0
 	}
 	s.ejected++
@@ -105,21 +105,21 @@
 	d.decide(now, slatewind.DecisionRamp, s.Name, reason+", its share grows again", fmt.Sprintf("over=%s", rampTime))
 }
 
-// reinstate brings an ejected server back for the floor, at less weight.
+// reinstate returns an ejected server to service at a lower weight, to keep the floor.
 func (d *Detector) reinstate(now time.Time, s *Server) {
 	s.State = slatewind.ServerSuspect
-	d.decide(now, slatewind.DecisionFloor, s.Name, "the floor needs it, it serves at less weight", d.evidence(s))
+	d.decide(now, slatewind.DecisionFloor, s.Name, "reinstated at a lower weight to keep the floor", d.evidence(s))
 }
 
-// keepFloor brings the mildest ejected servers back while capacity is below the
-// floor: because the floor rose, or because others left or cannot be reached.
+// keepFloor reinstates the least severe ejected servers while capacity is below the
+// floor, because the floor rose or because others are leaving or unreachable.
 func (d *Detector) keepFloor(now time.Time) {
 	for d.capacity() < d.floor {
-		milder := d.mildestOut()
-		if milder == nil {
+		lessSevere := d.leastSevereOut()
+		if lessSevere == nil {
 			return
 		}
-		d.reinstate(now, milder)
+		d.reinstate(now, lessSevere)
 	}
 }
 
@@ -138,23 +138,24 @@
 	return n
 }
 
-// mildestOut returns the least bad server that is out and could serve, or nil.
-func (d *Detector) mildestOut() *Server {
-	var mildest *Server
+// leastSevereOut returns the least severe server that is out of service and could serve,
+// or nil.
+func (d *Detector) leastSevereOut() *Server {
+	var leastSevere *Server
 	for _, s := range d.servers {
 		if s.Serving() || s.Leaving || s.Unreachable {
 			continue
 		}
-		if mildest == nil || s.severity < mildest.severity {
-			mildest = s
+		if leastSevere == nil || s.severity < leastSevere.severity {
+			leastSevere = s
 		}
 	}
-	return mildest
+	return leastSevere
 }
 
 func (d *Detector) evidence(s *Server) string {
-	score, name := d.judged(s)
+	score, name := d.effectiveScore(s)
 	return fmt.Sprintf("chart=%s score=%.1f threshold=%.1f errors=%d/%d capacity=%d floor=%d last=%.1fx spread=%.2f severity=%.1f",
 		name, score, d.caution, bits.OnesCount32(s.errors), s.errorsN, d.capacity(), d.floor,
-		math.Exp(s.excess), math.Sqrt(d.spread), s.severity)
+		math.Exp(s.excess), math.Sqrt(d.variance), s.severity)
 }
--- a/outlier/observe.go
+++ b/outlier/observe.go
@@ -14,16 +14,16 @@
 	return math.Log(max(float64(o.Latency), 1))
 }
 
-// Observe takes the evidence of one request.
+// Observe takes the outcome of one request or a failed probe as evidence.
 func (d *Detector) Observe(now time.Time, o slatewind.Observation) {
 	i := d.Find(o.Server)
 	if i < 0 {
 		return
 	}
 	s := d.servers[i]
-	s.heard = now
+	s.updatedAt = now
 	if o.Result == slatewind.ResultProbeFailed {
-		d.suspect(s)
+		d.addProbeFailure(s)
 		return
 	}
 	s.history.Add(o.Class, o.Result, o.Latency)
@@ -35,11 +35,11 @@
 	d.judge(now, i)
 }
 
-// Heard notes that a server's present is known at now, whether or not there
-// were new outcomes.
+// Heard records that the data about a server is current at now, whether or not
+// there were new outcomes.
 func (d *Detector) Heard(now time.Time, server string) {
 	if i := d.Find(server); i >= 0 {
-		d.servers[i].heard = now
+		d.servers[i].updatedAt = now
 	}
 }
 
@@ -84,10 +84,10 @@
 	return c
 }
 
-// latencyRatio is the ratio for one outcome whose log latency exceeds that of
-// the other servers by excess.
+// latencyRatio returns the log-likelihood ratio for one outcome whose log latency
+// exceeds that of the other servers by excess.
 func (d *Detector) latencyRatio(result slatewind.Result, excess float64) float64 {
-	sigma := math.Sqrt(d.spread)
+	sigma := math.Sqrt(d.variance)
 	switch result {
 	case slatewind.ResultOK:
 		return slowRatio(excess, sigma)
@@ -108,7 +108,7 @@
 	s.addSeverity(min(max(excess, -1), maxSeverity))
 }
 
-// learn updates the means by which later requests are compared.
+// learn updates the means and the variance with which later requests are compared.
 func (d *Detector) learn(s *Server, c *class, log float64) {
 	c.n = min(c.n+1, classMemory)
 	c.mean += (log - c.mean) / float64(c.n)
@@ -116,20 +116,19 @@
 		return
 	}
 	residual := log - c.mean
-	sigma := math.Sqrt(d.spread)
+	sigma := math.Sqrt(d.variance)
 	mean, n := s.mean(window)
 	if n >= minWindow && s.State == slatewind.ServerHealthy {
 		off := min(max(residual-mean, -3*sigma), 3*sigma)
-		d.spread += (off*off - d.spread) / spreadMemory
-		d.spread = min(max(d.spread, minSpread*minSpread), maxSpread*maxSpread)
+		d.variance += (off*off - d.variance) / spreadMemory
+		d.variance = min(max(d.variance, minSpread*minSpread), maxSpread*maxSpread)
 	}
 	s.recent[s.recentAt] = float32(residual)
 	s.recentAt = (s.recentAt + 1) % window
 	s.recentN = min(s.recentN+1, window)
 }
 
-// mean returns the mean of the newest residuals, at most n of them, and how many
-// there were.
+// mean returns the mean of the newest residuals, at most n of them, and their number.
 func (s *Server) mean(n int) (mean float64, known int) {
 	known = min(n, s.recentN)
 	sum := 0.0
@@ -139,9 +138,9 @@
 	return sum / float64(max(known, 1)), known
 }
 
-// otherMean returns the median of the other servers' present means, each over
-// its newest n requests. Ejected servers have no say; the median keeps another
-// sick one from hiding this.
+// otherMean returns the median of the other servers' current means, each over its
+// newest n requests, and whether there is one. Servers out of service do not count; the
+// median keeps a second unhealthy server from hiding this one.
 func (d *Detector) otherMean(i, n int) (float64, bool) {
 	return d.otherMedian(i, func(s *Server) (float64, bool) {
 		mean, known := s.mean(n)
@@ -149,12 +148,12 @@
 	})
 }
 
-// maxCompared bounds the servers that one is compared with; the median of more
-// would cost more and tell the same.
+// maxCompared limits the number of servers in a comparison; the median of more servers
+// would cost more and hardly differ.
 const maxCompared = 16
 
-// otherMedian returns the median of what value gives for the servers that stand
-// after one and are in service, as far as it gives something.
+// otherMedian returns the median of value over the servers that follow server i in the
+// list and are in service, without those for which value returns false.
 func (d *Detector) otherMedian(i int, value func(*Server) (float64, bool)) (float64, bool) {
 	values := d.scratch[:0]
 	n := len(d.servers)
@@ -190,8 +189,8 @@
 	return share
 }
 
-// ObservePath takes the evidence of one attempt as this ingress alone sees it:
-// whether any reply came back at all.
+// ObservePath takes the evidence of one attempt about the path from this ingress to the
+// server: whether any reply arrived.
 func (d *Detector) ObservePath(now time.Time, server string, reached bool) {
 	i := d.Find(server)
 	if i < 0 {
@@ -203,8 +202,8 @@
 	d.judge(now, i)
 }
 
-// judgeSelf finds out whether most servers look unreachable, which says more
-// about this ingress than about them.
+// judgeSelf checks whether most servers appear unreachable, in which case the path of
+// this ingress is the more likely cause.
 func (d *Detector) judgeSelf(now time.Time) {
 	bad := 0
 	for _, s := range d.servers {
@@ -212,18 +211,18 @@
 			bad++
 		}
 	}
-	sick := len(d.servers) > 1 && 2*bad > len(d.servers)
-	if sick && !d.selfSick {
-		d.decide(now, slatewind.DecisionSuspicion, "", "most servers do not answer this ingress: it suspects its own path and ejects none for that", fmt.Sprintf("unanswered=%d servers=%d", bad, len(d.servers)))
+	unhealthy := len(d.servers) > 1 && 2*bad > len(d.servers)
+	if unhealthy && !d.selfUnhealthy {
+		d.decide(now, slatewind.DecisionSuspicion, "", "most servers do not reply to this ingress: its own path is suspected and no server is ejected for missing replies", fmt.Sprintf("unanswered=%d servers=%d", bad, len(d.servers)))
 	}
-	d.selfSick = sick
+	d.selfUnhealthy = unhealthy
 }
 
-// suspect takes a failed probe. It raises suspicion up to a bound below the
-// threshold; a good probe clears nothing, since sick servers answer probes.
-func (d *Detector) suspect(s *Server) {
+// addProbeFailure adds a failed probe to the score, up to a limit below the threshold. A
+// successful probe subtracts nothing, since unhealthy servers answer probes too.
+func (d *Detector) addProbeFailure(s *Server) {
 	c := &s.scores[chartFailing]
-	if limit := d.caution * suspicionCap; c.score < limit {
-		c.score = min(c.score+suspicionRatio, limit)
+	if limit := d.caution * probeCap; c.score < limit {
+		c.score = min(c.score+probeRatio, limit)
 	}
 }
--- a/outlier/outcomes.go
+++ b/outlier/outcomes.go
@@ -8,27 +8,29 @@
 
 // Times of an unanswered request.
 const (
-	// overdueFactor is how many mean service times a request may take until it
-	// is told as overdue; each doubling tells it again, up to overdueTimes.
-	overdueFactor = 6
-	overdueTimes  = 3
-	// firstOverdue is the bound while no service time is known.
+	// overdueFactor is the number of mean service times after which a request is
+	// reported as overdue. It is reported again each time that the limit has doubled,
+	// maxOverdueReports times in all.
+	overdueFactor     = 6
+	maxOverdueReports = 3
+	// firstOverdue is the limit while no service time is known.
 	firstOverdue = time.Second
-	// meanWeight is the weight of the newest service time in a class's mean.
+	// meanWeight is the weight of the newest service time in the mean of its class.
 	meanWeight = 0.05
 )
 
-// running is one request that a server has in hand.
+// running is one request in progress.
 type running struct {
 	class   uint8
 	started time.Time
-	told    int
+	// reported counts the reports of the request as overdue.
+	reported int
 }
 
-// Outcomes is what a sidecar knows of its server's requests: those in hand and
-// the ring of the newest outcomes, which travels with every reply. A request
-// that runs far longer than others of its class stands in the ring before it
-// ends. It is not safe for use by several goroutines; its host guards it.
+// Outcomes is a sidecar's record of its server's requests: those in progress and the
+// ring of the newest outcomes, which is sent with every reply. A request that runs far
+// longer than others of its class is added to the ring before it ends. It is not safe
+// for concurrent use; the caller must hold a lock.
 type Outcomes struct {
 	Ring
 	means   map[uint8]time.Duration
@@ -40,12 +42,13 @@
 	return &Outcomes{means: map[uint8]time.Duration{}, running: map[string]*running{}}
 }
 
-// Start notes that the server has a request in hand.
+// Start records that the server has begun a request.
 func (o *Outcomes) Start(now time.Time, id string, class uint8) {
 	o.running[id] = &running{class: class, started: now}
 }
 
-// End notes the outcome of a request and returns how long it took.
+// End records the outcome of a request and returns how long it took, or zero if its
+// start was not recorded.
 func (o *Outcomes) End(now time.Time, id string, result slatewind.Result) time.Duration {
 	r := o.running[id]
 	if r == nil {
@@ -60,6 +63,7 @@
 	return took
 }
 
+// learn updates the mean service time of a class.
 func (o *Outcomes) learn(class uint8, took time.Duration) {
 	mean, ok := o.means[class]
 	if !ok {
@@ -69,7 +73,7 @@
 	o.means[class] = mean + time.Duration(meanWeight*float64(took-mean))
 }
 
-// Tick puts requests into the ring that became overdue.
+// Tick adds requests that have become overdue to the ring.
 func (o *Outcomes) Tick(now time.Time) {
 	for _, r := range o.running {
 		bound := firstOverdue
@@ -77,8 +81,8 @@
 			bound = overdueFactor * mean
 		}
 		waited := now.Sub(r.started)
-		if r.told < overdueTimes && waited > bound<<r.told {
-			r.told++
+		if r.reported < maxOverdueReports && waited > bound<<r.reported {
+			r.reported++
 			o.Add(r.class, slatewind.ResultOverdue, waited)
 		}
 	}
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -25,7 +25,7 @@
 	return all
 }
 
-// idle counts servers that are out although they could serve.
+// idle counts servers that are out of service although they could serve.
 func idle(d *outlier.Detector) int {
 	n := 0
 	for _, s := range d.Servers() {
@@ -36,9 +36,9 @@
 	return n
 }
 
-// TestFloorIsNeverBroken feeds a detector random evidence, leaving and
-// unreachable servers, changed floors and changed lists: after each event,
-// nothing that could serve is out while capacity is below the floor.
+// TestFloorIsNeverBroken passes random evidence, leaving and unreachable servers, changed
+// floors and changed lists to a detector. After each event, no server that could serve is
+// out of service while capacity is below the floor.
 func TestFloorIsNeverBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "servers")
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestDetectionIsNearTheBound: how many slow requests it takes at a spread and
-// slow-down for which the bound is known, over many seeds.
+// TestDetectionIsNearTheBound checks the mean number of slow requests until detection, over
+// many seeds, at a spread and a slow-down for which the theoretical bound is known.
 func TestDetectionIsNearTheBound(t *testing.T) {
 	const caution, spread, slow, seeds = 16, 0.5, 3, 200
 	total := 0
@@ -130,10 +130,10 @@
 	return 0
 }
 
-// TestSuspicionAsksBeforeItEjects: without a fresh view of the others a slow
-// server is not ejected; with views that show the same slowness it stays, and
-// with views that do not it goes.
-func TestSuspicionAsksBeforeItEjects(t *testing.T) {
+// TestSuspicionIsConfirmedByFreshData checks that a slow server is not ejected while the
+// data about the other servers is stale. With fresh data it stays if the others are equally
+// slow and is ejected otherwise.
+func TestSuspicionIsConfirmedByFreshData(t *testing.T) {
 	tests := map[string]struct {
 		othersLatency time.Duration
 		state         slatewind.ServerState
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestUnansweredQuestionsDoNotShield: if the others cannot be asked, the
-// suspicion is judged with what is known.
-func TestUnansweredQuestionsDoNotShield(t *testing.T) {
+// TestSuspicionIsJudgedAfterTimeout checks that a suspicion is judged by the data at hand
+// if no fresh data arrives.
+func TestSuspicionIsJudgedAfterTimeout(t *testing.T) {
 	d := outlier.NewDetector("service")
 	d.Update(begin, 1, 12, names(3))
 	for _, server := range names(3) {
--- a/outlier/ring.go
+++ b/outlier/ring.go
@@ -7,28 +7,29 @@
 	"slatewind.example/slatewind"
 )
 
-// RingSize is how many of a server's newest outcomes its sidecar tells with
-// every reply. An ingress that gets at least every thirty-second reply of a
-// server so learns all its outcomes, its own and other ingresses' alike.
+// RingSize is the number of a server's newest outcomes that its sidecar sends with
+// every reply. An ingress that receives at least every thirty-second reply of a server
+// thus gets all its outcomes, including those of requests from other ingresses.
 const RingSize = 32
 
-// Ring holds the newest outcomes of one server, each packed in 32 bits: class
-// in bits 24-31, result in bits 16-23, log latency in bits 0-15.
+// Ring holds the newest outcomes of one server, each packed in 32 bits: class in bits
+// 24-31, result in bits 16-23, log latency in bits 0-15. The zero Ring is empty.
 type Ring struct {
 	sequence uint64
 	packed   [RingSize]uint32
 }
 
-// logScale maps the log of nanoseconds to 16 bits: up to e^31 ns, an hour and
-// a half, in steps of 0.05 %.
+// logScale maps the log of nanoseconds to 16 bits: up to e^32 ns, about 22 hours, in
+// steps of 0.05 %.
 const logScale = 2048
 
+// packedResults lists the results by their code in bits 16-23.
 var packedResults = []slatewind.Result{
 	slatewind.ResultOK, slatewind.ResultError, slatewind.ResultOverdue, slatewind.ResultCancelled,
 	slatewind.ResultProbeFailed,
 }
 
-// Add puts an outcome into the ring.
+// Add adds an outcome to the ring, which drops the oldest one if it is full.
 func (r *Ring) Add(class uint8, result slatewind.Result, latency time.Duration) {
 	log := min(math.Log(max(float64(latency), 1))*logScale, math.MaxUint16)
 	code := uint32(0)
@@ -41,7 +42,7 @@
 	r.sequence++
 }
 
-// Sequence returns how many outcomes were added in all.
+// Sequence returns the total number of outcomes added.
 func (r *Ring) Sequence() uint64 {
 	return r.sequence
 }
@@ -58,7 +59,7 @@
 	return out
 }
 
-// Unpack returns the observation that a packed outcome stands for.
+// Unpack decodes a packed outcome of a server.
 func Unpack(server string, packed uint32) slatewind.Observation {
 	code := int(packed >> 16 & 0xff)
 	if code >= len(packedResults) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// Class returns the class of a route: a hash of its name in eight bits.
+// Class returns the class of a route: an eight-bit hash of its name.
 func Class(route string) uint8 {
 	hash := uint32(2166136261)
 	for i := range len(route) {
