--- a/policy/heard.go
+++ b/policy/digest.go
@@ -8,8 +8,8 @@
 	"slatewind.example/slatewind/outlier"
 )
 
-// Heard takes what a sidecar tells of a server, with a reply (direct) or by
-// gossip.
+// Heard applies a digest of a server from its sidecar, received with a reply (direct)
+// or by gossip.
 func (s *Service) Heard(now time.Time, d *slatewindv1.Digest, direct bool) {
 	i := s.detector.Find(d.GetServer())
 	if i < 0 {
@@ -20,29 +20,29 @@
 		return
 	}
 	sv.serial = d.GetSerial()
-	sv.last = d
+	sv.lastDigest = d
 	if direct {
-		sv.heard = now
+		sv.reportedAt = now
 		sv.backoff = 0
 		s.detector.SetReachable(now, d.GetServer(), true)
 		s.detector.ObservePath(now, d.GetServer(), true)
 	}
-	s.noteIncarnation(now, sv, d)
-	sv.said = d.GetLeaving()
-	s.detector.SetLeaving(now, d.GetServer(), sv.said || sv.listed)
+	s.updateIncarnation(now, sv, d)
+	sv.reportsLeaving = d.GetLeaving()
+	s.detector.SetLeaving(now, d.GetServer(), sv.reportsLeaving || sv.listedLeaving)
 	if len(d.GetOutcomes()) > 0 || d.GetSequence() == sv.sequence {
-		// Without its newest outcomes a server's present is not known.
+		// Without its newest outcomes the data about a server is not current.
 		s.detector.Heard(now, d.GetServer())
 	}
 	s.observeNew(now, sv, d)
 	if direct {
 		sv.load = float64(d.GetInFlight() + d.GetQueued())
 		sv.slots = max(float64(d.GetSlots()), 1)
-		sv.reported = now
+		sv.loadAt = now
 	}
 }
 
-// older reports whether a digest was made before the newest that was taken.
+// older reports whether a digest was created before the newest one that was applied.
 func older(d *slatewindv1.Digest, sv *server) bool {
 	process, known := attempt.ProcessOf(d.GetIncarnation()), attempt.ProcessOf(sv.incarnation)
 	if process != known {
@@ -51,8 +51,8 @@
 	return d.GetSerial() < sv.serial
 }
 
-// noteIncarnation resets what is known when the sidecar's process is another.
-func (s *Service) noteIncarnation(now time.Time, sv *server, d *slatewindv1.Digest) {
+// noteIncarnation resets the data about a server if its sidecar is a new process.
+func (s *Service) updateIncarnation(now time.Time, sv *server, d *slatewindv1.Digest) {
 	process := attempt.ProcessOf(d.GetIncarnation())
 	if process == attempt.ProcessOf(sv.incarnation) {
 		sv.incarnation = d.GetIncarnation()
@@ -67,7 +67,7 @@
 	}
 }
 
-// observeNew takes the outcomes that were not seen before.
+// observeNew passes the outcomes that were not observed before to the detector.
 func (s *Service) observeNew(now time.Time, sv *server, d *slatewindv1.Digest) {
 	outcomes := d.GetOutcomes()
 	if d.GetSequence() <= sv.sequence || len(outcomes) == 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,8 @@
-// Package policy puts the decisions about one service together, as one ingress
-// makes them: who is sick (outlier), who gets the next request (balance), and
-// how many extra attempts may go (retry). Events and their time go in,
-// decisions come out; there is no clock, no input or output and no goroutine,
-// so the daemon, the replay of traces and the measurements drive the same code.
+// Package policy combines the decisions of an ingress about one service: which servers
+// are unhealthy (outlier), which server gets the next request (balance), and how many
+// extra attempts are allowed (retry). Its input are events with their times, its output
+// are decisions. It uses no clock, no input or output and no goroutine, so the daemon,
+// the replay of traces and the measurements run the same code.
 package policy
 
 import (
@@ -18,40 +18,45 @@
 )
 
 const (
-	// loadMemory is how long a reported load counts; then only the requests
-	// of this ingress do.
+	// loadMemory is how long a reported load is used. After that, the requests of
+	// this ingress are the only estimate.
 	loadMemory = time.Second
-	// trialEvery is the least time between two trial requests to a server.
-	trialEvery = 100 * time.Millisecond
-	// firstBackoff and maxBackoff bound how long a server whose sidecar could
-	// not be reached is left alone.
-	firstBackoff = 500 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	// overdueTimes is how often one unanswered attempt is told as overdue, each
-	// time after twice the wait.
-	overdueTimes = 3
+	// trialInterval is the minimum time between two trial requests to a server.
+	trialInterval = 100 * time.Millisecond
+	// minBackoff and maxBackoff limit how long a server whose sidecar could not be
+	// reached gets no requests.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// maxOverdueReports is how many times one unanswered attempt is observed as
+	// overdue, each time after twice the wait.
+	maxOverdueReports = 3
 )
 
 // server is the traffic state of one server at this ingress.
 type server struct {
+	// incarnation, sequence and serial are from the newest digest.
 	incarnation uint64
 	sequence    uint64
 	serial      uint64
-	// listed and said: the VM list has its VM as leaving; it says so itself.
-	// Either is enough, since each may lag behind the other.
-	listed, said bool
-	// last is the newest digest, to pass on when the server is ejected.
-	last     *slatewindv1.Digest
-	inFlight int
-	// load and slots are as the sidecar reported them, load brought forward by
-	// this ingress's own requests.
-	load      float64
-	slots     float64
-	reported  time.Time
-	heard     time.Time
-	lastTrial time.Time
-	backoff   time.Duration
-	retryAt   time.Time
+	// listedLeaving is set if the VM list has the server's VM as leaving,
+	// reportsLeaving if the sidecar reports that the server is leaving. Either is
+	// enough, since each may lag behind the other.
+	listedLeaving, reportsLeaving bool
+	// lastDigest is the newest digest, to be passed on when the server is ejected.
+	lastDigest *slatewindv1.Digest
+	inFlight   int
+	// load and slots are as the sidecar reported them, at loadAt. The attempts of this
+	// ingress that started or ended since are added to or subtracted from load.
+	load   float64
+	slots  float64
+	loadAt time.Time
+	// reportedAt is when the newest digest came with a reply.
+	reportedAt time.Time
+	lastTrial  time.Time
+	// backoff is zero if the sidecar can be reached; otherwise no request is sent
+	// before retryAt.
+	backoff time.Duration
+	retryAt time.Time
 }
 
 // Attempt is an attempt at a server that has no reply yet.
@@ -59,25 +64,28 @@
 	Server string
 	class  uint8
 	sent   time.Time
-	told   int
+	// reported counts the observations of the attempt as overdue.
+	reported int
 }
 
-// Service decides about one service. It is not safe for use by several
-// goroutines; its host guards it.
+// Service makes the decisions about one service. It is not safe for concurrent use;
+// the caller must hold a lock.
 type Service struct {
 	name       string
 	dataCentre string
 	detector   *outlier.Detector
 	budget     *retry.Budget
 	random     *rand.Rand
-	servers    []server
-	// local and remote list the servers by data centre.
+	// servers are in the order of the settings, as in detector.
+	servers []server
+	// local and remote are the indices of the servers by data centre.
 	local, remote []int
 	pick          pick
-	waiting       map[*Attempt]bool
+	pending       map[*Attempt]bool
 }
 
-// NewService returns the decisions of an ingress in the data centre local.
+// NewService returns the policy of an ingress in the data centre local for a service
+// without servers; Update sets them.
 func NewService(name, local string, seed uint64) *Service {
 	return &Service{
 		name:       name,
@@ -85,11 +93,11 @@
 		detector:   outlier.NewDetector(name),
 		budget:     retry.NewBudget(retry.DefaultRatio, retry.DefaultBurst),
 		random:     rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		waiting:    map[*Attempt]bool{},
+		pending:    map[*Attempt]bool{},
 	}
 }
 
-// Update takes new settings of the service. dataCentre tells where a VM is.
+// Update applies new settings of the service. dataCentre returns the data centre of a VM.
 func (s *Service) Update(now time.Time, settings *slatewindv1.Service, dataCentre func(vm string) string) {
 	names := make([]string, len(settings.GetServers()))
 	servers := make([]server, len(names))
@@ -105,7 +113,7 @@
 	s.detector.Update(now, int(settings.GetFloor()), settings.GetCaution(), names)
 }
 
-// Locate notes the data centres of the servers' VMs anew.
+// Locate updates the data centres of the servers' VMs.
 func (s *Service) Locate(settings *slatewindv1.Service, dataCentre func(vm string) string) {
 	s.local, s.remote = s.local[:0], s.remote[:0]
 	for i, sv := range settings.GetServers() {
@@ -117,10 +125,11 @@
 	}
 }
 
-// None is returned by Pick where no server may get the request.
+// None is returned by Pick if no server may get the request.
 const None = balance.None
 
-// Pick chooses a server for one attempt. Servers in tried are passed over.
+// Pick returns the index of a server for one attempt, or None. Servers in tried are
+// excluded.
 func (s *Service) Pick(now time.Time, kind slatewind.Kind, tried []int) int {
 	if kind == slatewind.KindRepeatable && len(tried) == 0 {
 		if i := s.pickTrial(now); i != None {
@@ -130,19 +139,20 @@
 	s.pick = pick{service: s, now: now, tried: tried}
 	i := balance.Pick(s.random, &s.pick, s.local, s.remote)
 	if i == None {
-		// Every server is out of reach: trying one is better than refusing.
+		// No server is known to be reachable: an attempt is better than a refusal.
 		s.pick.unreachable = true
 		i = balance.Pick(s.random, &s.pick, s.local, s.remote)
 	}
 	return i
 }
 
-// pick is one choice; it tells package balance of the servers that it draws.
+// pick is one choice of a server. It provides package balance with the state of the
+// servers it draws.
 type pick struct {
 	service *Service
 	now     time.Time
 	tried   []int
-	// unreachable servers may be chosen too.
+	// unreachable allows unreachable servers.
 	unreachable bool
 }
 
@@ -153,7 +163,7 @@
 	if !p.unreachable && sv.backoff > 0 && p.now.Before(sv.retryAt) {
 		t.Weight = 0
 	}
-	if p.now.Sub(sv.reported) > loadMemory {
+	if p.now.Sub(sv.loadAt) > loadMemory {
 		t.Load = float64(sv.inFlight)
 	}
 	if slices.Contains(p.tried, i) {
@@ -162,13 +172,14 @@
 	return t
 }
 
-// pickTrial returns a server that may get a single request to prove itself.
+// pickTrial returns the index of a server on trial that may get a single request now, or
+// None.
 func (s *Service) pickTrial(now time.Time) int {
 	for i, known := range s.detector.Servers() {
 		if known.State != slatewind.ServerTrial || known.Leaving || known.Unreachable {
 			continue
 		}
-		if s.servers[i].inFlight > 0 || now.Sub(s.servers[i].lastTrial) < trialEvery {
+		if s.servers[i].inFlight > 0 || now.Sub(s.servers[i].lastTrial) < trialInterval {
 			continue
 		}
 		s.servers[i].lastTrial = now
@@ -177,28 +188,28 @@
 	return None
 }
 
-// First notes a first attempt in the budget of extra ones.
+// First records a first attempt in the budget for extra attempts.
 func (s *Service) First() {
 	s.budget.First()
 }
 
-// TakeExtra allows or denies a retry or a hedge.
+// TakeExtra reports whether the budget allows a retry or a hedge, and charges it.
 func (s *Service) TakeExtra() bool {
 	return s.budget.Take()
 }
 
-// Started notes that an attempt goes to a server.
+// Started records that an attempt is sent to server i.
 func (s *Service) Started(now time.Time, i int, class uint8) *Attempt {
 	s.servers[i].inFlight++
 	s.servers[i].load++
 	a := &Attempt{Server: s.Name(i), class: class, sent: now}
-	s.waiting[a] = true
+	s.pending[a] = true
 	return a
 }
 
-// Ended notes that an attempt is over, in whatever way.
+// Ended records the end of an attempt, whatever its result.
 func (s *Service) Ended(a *Attempt) {
-	delete(s.waiting, a)
+	delete(s.pending, a)
 	i := s.detector.Find(a.Server)
 	if i < 0 {
 		return
@@ -207,36 +218,36 @@
 	s.servers[i].load = max(s.servers[i].load-1, 0)
 }
 
-// Unreached notes that a server's sidecar could not be reached at all, for
-// which no request is lost: it is left alone for a while that doubles.
+// Unreached records that a server's sidecar could not be reached, so that no request was
+// sent. The server gets no requests for a time that doubles with each failure.
 func (s *Service) Unreached(now time.Time, name string) {
 	i := s.detector.Find(name)
 	if i < 0 {
 		return
 	}
 	sv := &s.servers[i]
-	sv.backoff = min(max(2*sv.backoff, firstBackoff), maxBackoff)
+	sv.backoff = min(max(2*sv.backoff, minBackoff), maxBackoff)
 	sv.retryAt = now.Add(sv.backoff)
 	s.detector.SetReachable(now, name, false)
 }
 
-// Lost notes that an attempt was sent and no reply came at all.
+// Lost records that an attempt was sent and no reply arrived.
 func (s *Service) Lost(now time.Time, name string) {
 	s.detector.ObservePath(now, name, false)
 }
 
-// noteOverdue makes an attempt without a reply evidence against its server, if
-// nothing else has come from the server meanwhile. Otherwise the server's own
-// sidecar has told it already.
-func (s *Service) noteOverdue(now time.Time, a *Attempt) {
+// observeOverdue counts an attempt without a reply as evidence against its server, unless
+// another reply has arrived from the server since the attempt was sent. In that case the
+// server's own sidecar has already reported the attempt as overdue.
+func (s *Service) observeOverdue(now time.Time, a *Attempt) {
 	bound := s.detector.OverdueAfter(a.class)
 	waited := now.Sub(a.sent)
-	if bound == 0 || a.told >= overdueTimes || waited < bound<<a.told {
+	if bound == 0 || a.reported >= maxOverdueReports || waited < bound<<a.reported {
 		return
 	}
-	a.told++
+	a.reported++
 	i := s.detector.Find(a.Server)
-	if i < 0 || !s.servers[i].heard.Before(a.sent) {
+	if i < 0 || !s.servers[i].reportedAt.Before(a.sent) {
 		return
 	}
 	s.detector.Observe(now, slatewind.Observation{
@@ -244,13 +255,14 @@
 	})
 }
 
-// OverdueAfter returns when an attempt of a class is overdue; zero is unknown.
+// OverdueAfter returns the time after which an attempt of a class is overdue, or zero if
+// it is unknown.
 func (s *Service) OverdueAfter(class uint8) time.Duration {
 	return s.detector.OverdueAfter(class)
 }
 
-// Incarnation returns the incarnation by which a server's sidecar is addressed,
-// or zero while it is unknown.
+// Incarnation returns the incarnation to which attempts at a server are addressed, or
+// zero while it is unknown.
 func (s *Service) Incarnation(name string) uint64 {
 	i := s.detector.Find(name)
 	if i < 0 {
@@ -259,40 +271,42 @@
 	return s.servers[i].incarnation
 }
 
-// SetLeaving notes that a server's VM leaves or is back.
+// SetLeaving records whether the VM list has a server's VM as leaving.
 func (s *Service) SetLeaving(now time.Time, name string, leaving bool) {
 	if i := s.detector.Find(name); i >= 0 {
-		s.servers[i].listed = leaving
-		s.detector.SetLeaving(now, name, leaving || s.servers[i].said)
+		s.servers[i].listedLeaving = leaving
+		s.detector.SetLeaving(now, name, leaving || s.servers[i].reportsLeaving)
 	}
 }
 
-// Observe takes one outcome directly; traces and models use it.
+// Observe passes one outcome to the detector. Traces and models use it in place of
+// digests.
 func (s *Service) Observe(now time.Time, o slatewind.Observation) {
 	s.detector.Observe(now, o)
 }
 
-// Waiting returns how many attempts have no reply yet.
+// Waiting returns the number of attempts that have no reply yet.
 func (s *Service) Waiting() int {
-	return len(s.waiting)
+	return len(s.pending)
 }
 
-// Tick looks at unanswered attempts and moves servers along whose waiting is
-// over.
+// Tick checks unanswered attempts and applies the changes of servers' states that are
+// due.
 func (s *Service) Tick(now time.Time) {
-	for a := range s.waiting {
-		s.noteOverdue(now, a)
+	for a := range s.pending {
+		s.observeOverdue(now, a)
 	}
 	s.detector.Tick(now)
 }
 
-// Questions returns the servers whose present is wanted to confirm a suspicion.
-// The host brings their digests and then calls Confirm.
+// Questions returns the servers whose current digests are needed to confirm a
+// suspicion, and clears the list. The caller fetches the digests, applies them and then
+// calls Confirm.
 func (s *Service) Questions() []string {
 	return s.detector.Questions()
 }
 
-// Confirm judges the suspicions that waited for answers.
+// Confirm judges the suspicions that wait for fresh digests.
 func (s *Service) Confirm(now time.Time) {
 	s.detector.Confirm(now)
 }
@@ -302,21 +316,21 @@
 	return s.detector.TakeDecisions()
 }
 
-// Last returns the newest digest of a server, or nil.
+// Last returns the newest digest of a server, or nil if there is none.
 func (s *Service) Last(name string) *slatewindv1.Digest {
 	i := s.detector.Find(name)
 	if i < 0 {
 		return nil
 	}
-	return s.servers[i].last
+	return s.servers[i].lastDigest
 }
 
-// Name returns the name of a server by its index.
+// Name returns the name of the server with index i.
 func (s *Service) Name(i int) string {
 	return s.detector.Servers()[i].Name
 }
 
-// Serving reports whether a server may get a request that runs only once.
+// Serving reports whether a server may get a request that must not be repeated.
 func (s *Service) Serving(now time.Time, name string) bool {
 	i := s.detector.Find(name)
 	if i < 0 || s.detector.Weight(now, i) == 0 {
@@ -330,12 +344,12 @@
 	return s.detector.Find(name)
 }
 
-// Capacity returns how many servers are in service and can be reached.
+// Capacity returns the number of servers that are in service, reachable and not leaving.
 func (s *Service) Capacity() int {
 	return s.detector.Capacity()
 }
 
-// Idle returns how many servers are set aside although they could serve.
+// Idle returns the number of servers that are out of service although they could serve.
 func (s *Service) Idle() int {
 	n := 0
 	for _, known := range s.detector.Servers() {
@@ -346,7 +360,7 @@
 	return n
 }
 
-// State returns the state of a server, or "" where it is unknown.
+// State returns the state of a server, or "" if the server is unknown.
 func (s *Service) State(name string) slatewind.ServerState {
 	i := s.detector.Find(name)
 	if i < 0 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -40,9 +40,10 @@
 	return chosen
 }
 
-// TestLeavingByListOutlastsTheServersOwnWord: the list has a VM as leaving, and
-// its sidecar, which has not heard of it, goes on saying that it is live.
-func TestLeavingByListOutlastsTheServersOwnWord(t *testing.T) {
+// TestListedLeavingOverridesDigest checks that a server gets no requests while the VM list
+// has its VM as leaving, although its sidecar has not received that yet and still reports
+// that the server is not leaving.
+func TestListedLeavingOverridesDigest(t *testing.T) {
 	p := newService(2)
 	p.SetLeaving(begin, "s0", true)
 	p.Heard(begin, digest("s0", 1, false), true)
@@ -51,8 +52,9 @@
 	assert.Assert(t, picks(p, begin)["s0"] > 0)
 }
 
-// TestLateDigestChangesNothing: digests overtake each other; an older one does
-// not bring a leaving server back, nor one of the process before.
+// TestLateDigestChangesNothing checks that digests that arrive out of order are ignored:
+// neither an older digest nor one of the previous process of the sidecar returns a leaving
+// server to service.
 func TestLateDigestChangesNothing(t *testing.T) {
 	p := newService(2)
 	p.Heard(begin, digest("s0", 5, true), true)
@@ -64,7 +66,8 @@
 	assert.Equal(t, p.Incarnation("s0"), uint64(1<<24|1))
 }
 
-// TestOwnDataCentreFirst: local servers get the requests until they are full.
+// TestOwnDataCentreFirst checks that servers of the own data centre get the requests until
+// they are full.
 func TestOwnDataCentreFirst(t *testing.T) {
 	p := newService(3)
 	chosen := picks(p, begin)
@@ -76,9 +79,10 @@
 	assert.Assert(t, chosen["s0"] == 0 && chosen["s1"] > 0 && chosen["s2"] > 0, "%v", chosen)
 }
 
-// TestUnreachedServersAreLeftAlone: a refused connection takes a server away for
-// a while, unless all are away: then trying is better than refusing.
-func TestUnreachedServersAreLeftAlone(t *testing.T) {
+// TestUnreachableServersAreSkipped checks that a server gets no requests for a while after
+// its sidecar could not be reached, unless no server can be reached: then an attempt is
+// better than a refusal.
+func TestUnreachableServersAreSkipped(t *testing.T) {
 	p := newService(2)
 	p.Unreached(begin, "s0")
 	assert.Equal(t, picks(p, begin)["s0"], 0)
@@ -89,16 +93,16 @@
 	assert.Assert(t, len(picks(p, begin)) > 0)
 }
 
-// TestSilenceIsEvidence: a server from which nothing at all comes is ejected for
-// the requests that wait there, while one that still answers others is judged by
-// its sidecar's word.
-func TestSilenceIsEvidence(t *testing.T) {
+// TestUnansweredAttemptsAreEvidence checks that a server from which no reply arrives at all
+// is ejected for its unanswered attempts, while one that still answers other requests is
+// judged by what its sidecar reports.
+func TestUnansweredAttemptsAreEvidence(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		t.Run(fmt.Sprint("silent=", silent), func(t *testing.T) {
 			p := newService(3)
 			now := begin
 			serials := uint64(0)
-			hear := func(server string) {
+			receive := func(server string) {
 				serials++
 				var ring outlier.Ring
 				for range outlier.RingSize {
@@ -109,7 +113,7 @@
 				p.Heard(now, d, true)
 			}
 			for _, server := range []string{"s0", "s1", "s2"} {
-				hear(server)
+				receive(server)
 			}
 			now = now.Add(time.Millisecond)
 			for range 8 {
@@ -117,10 +121,10 @@
 			}
 			for range 20 {
 				now = now.Add(100 * time.Millisecond)
-				hear("s1")
-				hear("s2")
+				receive("s1")
+				receive("s2")
 				if !silent {
-					hear("s0")
+					receive("s0")
 				}
 				p.Tick(now)
 			}
--- a/policy/race.go
+++ b/policy/race.go
@@ -6,7 +6,7 @@
 	"slatewind.example/slatewind"
 )
 
-// MaxAttempts bounds the attempts at one repeatable request.
+// MaxAttempts limits the attempts at one repeatable request.
 const MaxAttempts = 3
 
 // RaceStep is what an ingress does next with a repeatable request.
@@ -14,45 +14,48 @@
 
 // Steps of a race.
 const (
-	// RaceWon: this answer goes to the caller.
+	// RaceWon means that the answer is forwarded to the caller.
 	RaceWon RaceStep = "won"
-	// RaceRetry: try another server if the budget allows, else call NoExtra.
+	// RaceRetry means that another server is tried if the budget allows it; otherwise
+	// NoExtra returns the next step.
 	RaceRetry RaceStep = "retry"
-	// RaceWait: another attempt may still bring an answer.
+	// RaceWait means that another attempt is pending and may still succeed.
 	RaceWait RaceStep = "wait"
-	// RaceLost: no attempt is left; Outcome says what the caller is told.
+	// RaceLost means that no attempt is left. Outcome returns the outcome for the caller.
 	RaceLost RaceStep = "lost"
 )
 
-// Race decides about the attempts at one repeatable request: the first good
-// answer wins, and a failed attempt is tried again elsewhere.
+// Race controls the attempts at one repeatable request: the first successful answer
+// wins, and a failed attempt is retried at another server.
 type Race struct {
-	// Tried holds the servers that were tried, by index.
+	// Tried holds the indices of the servers that were tried.
 	Tried []int
-	// giveUp is when the final answer is due.
-	giveUp  time.Time
+	// deadline is when the final answer is due.
+	deadline time.Time
+	// pending counts the attempts that have no result yet.
 	pending int
+	// unknown is set if an attempt may have run.
 	unknown bool
 }
 
-// NewRace returns a race whose final answer is due at a time.
-func NewRace(giveUp time.Time) *Race {
-	return &Race{giveUp: giveUp}
+// NewRace returns a race whose final answer is due at deadline.
+func NewRace(deadline time.Time) *Race {
+	return &Race{deadline: deadline}
 }
 
-// Launched notes an attempt at a server.
+// Launched records an attempt at server i.
 func (r *Race) Launched(i int) {
 	r.Tried = append(r.Tried, i)
 	r.pending++
 }
 
-// MayLaunch reports whether another attempt makes sense at now.
+// MayLaunch reports whether the number of attempts and the time allow another attempt.
 func (r *Race) MayLaunch(now time.Time) bool {
-	return len(r.Tried) < MaxAttempts && now.Before(r.giveUp)
+	return len(r.Tried) < MaxAttempts && now.Before(r.deadline)
 }
 
-// Take notes the result of an attempt. failed says that an answer is an error
-// of the server.
+// Take records the result of an attempt and returns the next step. failed is set if the
+// answer is a server error.
 func (r *Race) Take(now time.Time, outcome slatewind.Outcome, failed bool) RaceStep {
 	r.pending--
 	if outcome == slatewind.OutcomeAnswer && !failed {
@@ -67,7 +70,7 @@
 	return r.NoExtra()
 }
 
-// NoExtra returns the step where no further attempt is allowed.
+// NoExtra returns the next step if no further attempt is allowed.
 func (r *Race) NoExtra() RaceStep {
 	if r.pending > 0 {
 		return RaceWait
@@ -75,8 +78,8 @@
 	return RaceLost
 }
 
-// Outcome is what the caller of a lost race is told, unless a server gave an
-// error answer of its own.
+// Outcome returns the outcome that is reported to the caller of a lost race, unless a
+// server returned an error answer.
 func (r *Race) Outcome() slatewind.Outcome {
 	if r.unknown {
 		return slatewind.OutcomeUnknown
--- a/policy/view.go
+++ b/policy/view.go
@@ -7,7 +7,7 @@
 	"slatewind.example/slatewind"
 )
 
-// ServerView is one server in a state dump.
+// ServerView describes one server in a state dump.
 type ServerView struct {
 	Name        string                `json:"name"`
 	State       slatewind.ServerState `json:"state"`
