--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -1,6 +1,6 @@
-// Package capacity_test measures the slopes from which docs/CAPACITY.md is worked
-// out: bytes and nanoseconds per server known, route, record, peer, round and
-// change. Run it by make capacity.
+// Package capacity_test measures the unit costs from which docs/CAPACITY.md is
+// computed: bytes and nanoseconds per known server, route, record, peer, gossip round
+// and change. Run it with make capacity.
 package capacity_test
 
 import (
@@ -27,7 +27,7 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// Sizes of the letter.
+// Sizes of the target fleet.
 const (
 	targetVMs      = 2200
 	targetServers  = 21000
@@ -37,7 +37,7 @@
 
 var begin = time.Unix(1_700_000_000, 0)
 
-// heap returns the live heap in bytes.
+// heap returns the size of the live heap in bytes.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -46,7 +46,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// bytesPer reports the live bytes of what build makes, divided by count.
+// bytesPer reports the live heap that build allocates, divided by count.
 func bytesPer(b *testing.B, unit string, count int, build func() any) {
 	b.Helper()
 	before := heap()
@@ -64,7 +64,7 @@
 	return s
 }
 
-func zoneOf(vm string) string { return "dc-" + vm[len(vm)-1:] }
+func dataCentreOf(vm string) string { return "dc-" + vm[len(vm)-1:] }
 
 func digest(server string, sequence uint64) *slatewindv1.Digest {
 	var ring outlier.Ring
@@ -77,10 +77,11 @@
 	}
 }
 
-// warm returns the decisions about a service whose servers were all heard of.
-func warm(servers int) (*policy.Service, []*slatewindv1.Digest) {
+// newPolicy returns the policy of a service after a digest of each server, and these
+// digests.
+func newPolicy(servers int) (*policy.Service, []*slatewindv1.Digest) {
 	p := policy.NewService("s", "dc-1", 1)
-	p.Update(begin, service("s", servers), zoneOf)
+	p.Update(begin, service("s", servers), dataCentreOf)
 	digests := make([]*slatewindv1.Digest, servers)
 	for i := range digests {
 		digests[i] = digest(fmt.Sprintf("s-%d", i), 32)
@@ -92,7 +93,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, servers := range []int{9, 100} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			p, _ := warm(servers)
+			p, _ := newPolicy(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.Pick(begin, slatewind.KindRepeatable, nil)
@@ -101,12 +102,13 @@
 	}
 }
 
-// BenchmarkDecide is the whole cost of decisions for one request at its ingress:
-// choice, note, digest with one new outcome, end.
+// BenchmarkDecide measures the total cost of the decisions for one request at its
+// ingress: choosing a server, recording the attempt, a digest with one new outcome, and
+// the end of the attempt.
 func BenchmarkDecide(b *testing.B) {
 	for _, servers := range []int{9, 19, 100} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			p, digests := warm(servers)
+			p, digests := newPolicy(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.First()
@@ -120,8 +122,8 @@
 	}
 }
 
-// BenchmarkContended compares services behind locks of their own with all of
-// them behind one, under 8 goroutines.
+// BenchmarkContended compares one lock for each service with one lock for all of them,
+// under GOMAXPROCS goroutines, which is 8 on a machine with 8 cores.
 func BenchmarkContended(b *testing.B) {
 	const services = 64
 	for _, locks := range []int{1, services} {
@@ -129,7 +131,7 @@
 			mutexes := make([]sync.Mutex, locks)
 			policies := make([]*policy.Service, services)
 			for i := range policies {
-				policies[i], _ = warm(9)
+				policies[i], _ = newPolicy(9)
 			}
 			b.SetParallelism(1)
 			b.RunParallel(func(pb *testing.PB) {
@@ -149,20 +151,21 @@
 		var all []*policy.Service
 		for i := range targetServices {
 			p := policy.NewService(fmt.Sprint("s", i), "dc-1", 1)
-			p.Update(begin, service(fmt.Sprint("s", i), targetServers/targetServices), zoneOf)
+			p.Update(begin, service(fmt.Sprint("s", i), targetServers/targetServices), dataCentreOf)
 			all = append(all, p)
 		}
 		return all
 	})
 }
 
-// BenchmarkMemoryPerServerHeard is the same once a digest of each was kept.
-func BenchmarkMemoryPerServerHeard(b *testing.B) {
+// BenchmarkMemoryPerServerReported is BenchmarkMemoryPerServerKnown after a digest of
+// each server.
+func BenchmarkMemoryPerServerReported(b *testing.B) {
 	bytesPer(b, "server", targetServers, func() any {
 		var all []*policy.Service
 		for i := range targetServices {
 			p := policy.NewService(fmt.Sprint("s", i), "dc-1", 1)
-			p.Update(begin, service("s", targetServers/targetServices), zoneOf)
+			p.Update(begin, service("s", targetServers/targetServices), dataCentreOf)
 			for k := range targetServers / targetServices {
 				p.Heard(begin, digest(fmt.Sprintf("s-%d", k), 32), true)
 			}
@@ -176,7 +179,7 @@
 	var all []*policy.Service
 	for i := range targetServices {
 		p := policy.NewService(fmt.Sprint("s", i), "dc-1", 1)
-		p.Update(begin, service("s", targetServers/targetServices), zoneOf)
+		p.Update(begin, service("s", targetServers/targetServices), dataCentreOf)
 		all = append(all, p)
 	}
 	for b.Loop() {
@@ -186,7 +189,7 @@
 	}
 }
 
-// fleetText is an operators' file of the target size, or a part of it.
+// fleetText returns an operators' settings file of the given size.
 func fleetText(services, servers, routes int) []byte {
 	var t strings.Builder
 	t.WriteString("services:\n")
@@ -204,8 +207,8 @@
 	return []byte(t.String())
 }
 
-// BenchmarkSettings parses, checks and indexes a tenth of the target file, since
-// the whole is over the platform's megabyte.
+// BenchmarkSettings parses, checks and indexes a tenth of the target file, since the
+// whole file exceeds the platform's limit of one megabyte.
 func BenchmarkSettings(b *testing.B) {
 	text := fleetText(targetServices/10, targetServers/10, targetRoutes/10)
 	b.ReportAllocs()
@@ -230,7 +233,7 @@
 	})
 }
 
-// BenchmarkChange is what one changed service moves between two processes.
+// BenchmarkChange measures the data that two processes exchange if one service changes.
 func BenchmarkChange(b *testing.B) {
 	before := fleetText(targetServices/10, targetServers/10, targetRoutes/10)
 	after := []byte(strings.Replace(string(before), "service-7\n    floor: 3", "service-7\n    floor: 2", 1))
@@ -238,12 +241,12 @@
 	for b.Loop() {
 		config.Missing(config.Split(after), have)
 	}
-	moved := 0
+	sent := 0
 	chunks := config.Split(after)
 	for _, chunk := range config.Missing(chunks, have) {
-		moved += len(chunk)
+		sent += len(chunk)
 	}
-	b.ReportMetric(float64(moved), "B-moved")
+	b.ReportMetric(float64(sent), "B-moved")
 	b.ReportMetric(float64(len(chunks)*8*2), "B-digests")
 }
 
@@ -298,7 +301,7 @@
 	})
 }
 
-// BenchmarkOnce is one request's way through a full store.
+// BenchmarkOnce measures the operations for one request on a full store.
 func BenchmarkOnce(b *testing.B) {
 	s := once.NewStore(begin, once.DefaultRecords, 0)
 	s.SetOwners(begin, "kassa", 1)
@@ -366,9 +369,9 @@
 	}
 }
 
-// exchange is one message of a gossip round as a VM with ten servers sends it on
-// an ordinary day, when four members changed within half a minute.
-func exchange() *slatewindv1.SyncRequest {
+// syncRequest returns a typical message of a gossip round, from a VM with ten servers
+// when four members have changed within half a minute.
+func syncRequest() *slatewindv1.SyncRequest {
 	r := &slatewindv1.SyncRequest{Self: apiMember(0), Version: &slatewindv1.Version{Revision: 1 << 20, Digest: 1 << 63}, PlatformAgeNanos: 1 << 32}
 	for i := range 4 {
 		r.Members = append(r.Members, apiMember(i))
@@ -391,7 +394,7 @@
 
 // BenchmarkExchange encodes and decodes one message of a gossip round.
 func BenchmarkExchange(b *testing.B) {
-	message := exchange()
+	message := syncRequest()
 	for b.Loop() {
 		raw, err := proto.Marshal(message)
 		if err != nil {
@@ -404,7 +407,7 @@
 	b.ReportMetric(float64(proto.Size(message)), "B-message")
 }
 
-// BenchmarkReplyDigest is what a reply carries for control.
+// BenchmarkReplyDigest measures the digest that a reply carries.
 func BenchmarkReplyDigest(b *testing.B) {
 	d := digest("", 1<<20)
 	d.Service = ""
--- a/capacity/connection_test.go
+++ b/capacity/connection_test.go
@@ -13,21 +13,21 @@
 	"slatewind.example/slatewind/link"
 )
 
-// echo answers each exchange with nothing new.
-type echo struct {
+// emptyPeer answers each request with an empty reply.
+type emptyPeer struct {
 	slatewindv1.UnimplementedPeerServer
 }
 
-func (echo) Sync(context.Context, *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error) {
+func (emptyPeer) Sync(context.Context, *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error) {
 	return &slatewindv1.SyncReply{}, nil
 }
 
-// BenchmarkMemoryPerOpenConnection is what a connection in use costs both ends
-// together, heap and stacks.
+// BenchmarkMemoryPerOpenConnection measures the memory of a connection in use, heap and
+// stacks of both ends together.
 func BenchmarkMemoryPerOpenConnection(b *testing.B) {
 	const peers = 100
 	server := grpc.NewServer(link.ServerOptions()...)
-	slatewindv1.RegisterPeerServer(server, echo{})
+	slatewindv1.RegisterPeerServer(server, emptyPeer{})
 	defer server.Stop()
 	addresses := make([]string, peers)
 	for i := range addresses {
@@ -42,7 +42,7 @@
 	pool := link.NewPool(nil)
 	for range 3 {
 		for _, address := range addresses {
-			if _, err := pool.Sync(b.Context(), address, exchange()); err != nil {
+			if _, err := pool.Sync(b.Context(), address, syncRequest()); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -52,7 +52,7 @@
 	_ = pool.Close()
 }
 
-// inUse returns live heap and stacks in bytes.
+// inUse returns the size of the live heap and the stacks in bytes.
 func inUse() float64 {
 	runtime.GC()
 	runtime.GC()
