--- a/admission/admission.go
+++ b/admission/admission.go
@@ -48,10 +48,10 @@
 	// Begun is set if the item belongs to work that has begun on another server and
 	// would be lost if the item were refused.
 	Begun bool
-	// Beyond allows the item to start in one slot more than the server has. At most
+	// Overcommit allows the item to start in one slot more than the server has. At most
 	// one item exceeds the slots at a time: it probes a server all of whose slots are
 	// held by hanging requests.
-	Beyond bool
+	Overcommit bool
 	// StartBy is the time after which the item should no longer wait for a slot; zero
 	// means no limit.
 	StartBy time.Time
@@ -111,9 +111,9 @@
 	s.slots = slots
 }
 
-// Forget frees all slots and clears the mean service time, for use when a new server
+// ResetSlots frees all slots and clears the mean service time, for use when a new server
 // replaces this one. The queue is kept.
-func (s *Server) Forget() {
+func (s *Server) ResetSlots() {
 	s.inUse, s.service = 0, 0
 	maps.Copy(s.replaced, s.started)
 	clear(s.started)
@@ -143,7 +143,7 @@
 // Offer decides about a new item. If another item has to leave the queue to make
 // room, its refusal comes first in the result.
 func (s *Server) Offer(now time.Time, it Item) []Decision {
-	if s.fits(it) && (it.Beyond || !s.mustQueue(it)) {
+	if s.fits(it) && (it.Overcommit || !s.mustQueue(it)) {
 		s.countOvertaken(it, len(s.queue))
 		s.start(it)
 		return []Decision{{Item: it, Action: ActionStart}}
@@ -166,7 +166,7 @@
 
 // Done records the end of a started item after the given service time and returns the
 // decisions about items that start or are refused as a result. Items that started before
-// a Forget free no slot.
+// a ResetSlots free no slot.
 func (s *Server) Done(now time.Time, it Item, service time.Duration) []Decision {
 	if s.replaced[it.ID] {
 		delete(s.replaced, it.ID)
@@ -241,7 +241,7 @@
 	if it.Priority == slatewind.PriorityBackground {
 		free -= s.spare()
 	}
-	if it.Beyond {
+	if it.Overcommit {
 		free++
 	}
 	return free > 0
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -147,10 +147,10 @@
 	}
 }
 
-// TestForget checks that a replacement of the server begins with all slots free, that
+// TestResetSlots checks that a replacement of the server begins with all slots free, that
 // waiting items get them, and that requests of the replaced server free none when they
 // end.
-func TestForget(t *testing.T) {
+func TestResetSlots(t *testing.T) {
 	s := admission.NewServer(2)
 	items := make([]admission.Item, 4)
 	for i := range items {
@@ -159,7 +159,7 @@
 	}
 	assert.Equal(t, s.InUse(), 2)
 	assert.Equal(t, s.Queued(), 2)
-	s.Forget()
+	s.ResetSlots()
 	assert.Equal(t, s.InUse(), 0)
 	started := s.Advance(begin)
 	assert.Equal(t, len(started), 2)
--- a/inbound/entry.go
+++ b/inbound/entry.go
@@ -67,7 +67,7 @@
 	}
 	if in.name != "" {
 		in.breaker.Reset()
-		in.slots.Forget()
+		in.slots.ResetSlots()
 		in.pool.CloseIdle()
 		in.journal.Add(slatewind.Decision{
 			Time: now, Kind: slatewind.DecisionMember, Service: in.server.Service, Server: name,
--- a/inbound/inbound.go
+++ b/inbound/inbound.go
@@ -208,7 +208,7 @@
 // updateSlack updates the server's share of the slack. in.mu must be held.
 func (in *Inbound) updateSlack() {
 	slack := in.bounds.RetrySlack
-	in.extras.SetBare(slack == 0)
+	in.extras.SetNoSlack(slack == 0)
 	in.extras.SetSlack(in.sharer.Share(max(extrasShare*slack, min(slack, minSlack))))
 }
 
--- a/inbound/slots.go
+++ b/inbound/slots.go
@@ -103,9 +103,9 @@
 		Begun:    r.GetBegun(),
 		// Requests that hang hold their slots until their deadlines, for up to ten seconds,
 		// although the server may have recovered by then.
-		Beyond:   !askOf(r).Guarded() && in.breaker.Stuck(in.slots.Slots()),
-		Deadline: now.Add(time.Duration(r.GetRemainingMs()) * time.Millisecond),
-		StartBy:  now.Add(time.Duration(r.GetPatienceMs()) * time.Millisecond),
+		Overcommit: !askOf(r).Guarded() && in.breaker.Stuck(in.slots.Slots()),
+		Deadline:   now.Add(time.Duration(r.GetRemainingMs()) * time.Millisecond),
+		StartBy:    now.Add(time.Duration(r.GetPatienceMs()) * time.Millisecond),
 	}
 	decision := make(chan admission.Decision, 1)
 	in.waiting[item.ID] = decision
@@ -119,7 +119,7 @@
 // calls of servers earn nothing. in.mu must be held.
 func (in *Inbound) earnExtra(now time.Time, r *slatewindv1.Reservation) {
 	if r.GetFirst() && !r.GetBegun() && r.GetService() == in.server.Service {
-		in.extras.First(now)
+		in.extras.RecordFirst(now)
 	}
 }
 
--- a/overload/server_test.go
+++ b/overload/server_test.go
@@ -112,7 +112,7 @@
 	rq, now := r.request, s.w.now
 	if !rq.announced {
 		rq.announced = true
-		s.extras.First(now)
+		s.extras.RecordFirst(now)
 	}
 	switch {
 	case rq.slot != nil || rq.done:
@@ -127,7 +127,7 @@
 	s.nextID++
 	r.item = admission.Item{
 		ID: fmt.Sprint(s.nextID), Priority: slatewind.PriorityInteractive, Deadline: rq.deadline, StartBy: r.until(),
-		Beyond: rq.repeatable && s.breaker.Stuck(s.slots.Slots()), Customer: rq.sender.Name, Rank: rq.sender.Rank,
+		Overcommit: rq.repeatable && s.breaker.Stuck(s.slots.Slots()), Customer: rq.sender.Name, Rank: rq.sender.Rank,
 	}
 	s.waiting[r.item.ID] = r
 	decisions := s.slots.Offer(now, r.item)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -190,7 +190,7 @@
 
 // First records a first attempt in the budget for extra attempts.
 func (s *Service) First() {
-	s.budget.First()
+	s.budget.RecordFirst()
 }
 
 // TakeExtra reports whether the budget allows a retry or a hedge, and charges it.
--- a/retry/denials.go
+++ b/retry/denials.go
@@ -13,10 +13,10 @@
 	minDenials    = 2
 )
 
-// MostDenials returns the number of denials after which the search for a server that
+// MaxDenials returns the number of denials after which the search for a server that
 // grants an extra attempt ends. scarce is set if other extra attempts were denied recently;
 // rank 0 is the highest priority.
-func MostDenials(rank uint32, scarce bool) int {
+func MaxDenials(rank uint32, scarce bool) int {
 	limit := uint64(normalDenials)
 	if scarce {
 		limit = scarceDenials
--- a/retry/model_test.go
+++ b/retry/model_test.go
@@ -168,7 +168,7 @@
 			w.SetSlack(Sharer{Servers: c.servers, Rank: server}.Share(c.share() * c.slack))
 			return *w
 		},
-		first:   (*Window).First,
+		first:   (*Window).RecordFirst,
 		take:    (*Window).Take,
 		charge:  (*Window).Charge,
 		arrived: (*Window).Arrived,
@@ -414,7 +414,7 @@
 			r.late = 1
 		}},
 		"an extra arrival earns like a first one": {"two servers", func(r *rules) {
-			r.arrived = func(w *Window, now time.Time, p Payment) { w.Arrived(now, p); w.First(now) }
+			r.arrived = func(w *Window, now time.Time, p Payment) { w.Arrived(now, p); w.RecordFirst(now) }
 		}},
 		"a payment is refunded although its attempt arrived": {"two servers", func(r *rules) {
 			r.arrived = func(w *Window, _ time.Time, p Payment) { w.Return(p) }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -56,8 +56,8 @@
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// First records a first attempt.
-func (b *Budget) First() {
+// RecordFirst records a first attempt.
+func (b *Budget) RecordFirst() {
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -27,7 +27,7 @@
 			b := retry.NewBudget(0.2, 4)
 			test.play(b)
 			for range test.firsts {
-				b.First()
+				b.RecordFirst()
 			}
 			assert.Equal(t, b.Left(), test.extra > 0)
 			assert.Equal(t, take(b, 100), test.extra)
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -81,7 +81,7 @@
 	for i := range windows {
 		windows[i] = NewWindow(now, given*playRatio, playSpan)
 		windows[i].SetSlack(Sharer{p.servers, i}.Share(given * p.slack))
-		windows[i].SetBare(p.slack == 0)
+		windows[i].SetNoSlack(p.slack == 0)
 	}
 	s := steps{make([]float64, length), make([]float64, length)}
 	due := 0.0
@@ -92,7 +92,7 @@
 		for range int(math.Floor(due) - sent) {
 			for server, w := range windows {
 				if asked(i, server) {
-					w.First(now)
+					w.RecordFirst(now)
 					s.firsts[i]++
 				}
 			}
--- a/retry/window.go
+++ b/retry/window.go
@@ -74,8 +74,8 @@
 	w.saved = min(w.saved, w.saveLimit())
 }
 
-// SetBare sets whether the operators allow the service no slack at all.
-func (w *Window) SetBare(noSlack bool) { w.noSlack = noSlack }
+// SetNoSlack sets whether the operators allow the service no slack at all.
+func (w *Window) SetNoSlack(noSlack bool) { w.noSlack = noSlack }
 
 // capacity returns the capacity of the token bucket, in attempts: at least one, which expires
 // soon if the slack allows none.
@@ -92,8 +92,8 @@
 	}
 }
 
-// First records a request whose first server this is.
-func (w *Window) First(now time.Time) {
+// RecordFirst records a request whose first server this is.
+func (w *Window) RecordFirst(now time.Time) {
 	w.expire(now)
 	if w.saved <= 0 && w.heldRatio == 0 {
 		w.earning = now
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -62,7 +62,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause")) * time.Millisecond)
 			w := servers[rapid.IntRange(0, len(servers)-1).Draw(t, "server")]
 			for range rapid.IntRange(0, 30).Draw(t, "firsts") {
-				w.First(now)
+				w.RecordFirst(now)
 				arrivals = append(arrivals, arrival{now, false})
 			}
 			for range rapid.IntRange(0, 10).Draw(t, "extras") {
@@ -131,7 +131,7 @@
 
 func firsts(w *retry.Window, now time.Time, n int) {
 	for range n {
-		w.First(now)
+		w.RecordFirst(now)
 	}
 }
 
--- a/search/search.go
+++ b/search/search.go
@@ -205,7 +205,7 @@
 // DeniedEnough reports whether so many servers may get no extra attempt that asking the
 // others is not worth it.
 func (s *Search) DeniedEnough() bool {
-	return s.denied() && s.queued == 0 && s.denials >= retry.MostDenials(s.request.Rank, s.request.Scarce)
+	return s.denied() && s.queued == 0 && s.denials >= retry.MaxDenials(s.request.Rank, s.request.Scarce)
 }
 
 // Silent reports whether the server that was asked last has been silent for so long that
--- a/search/search_test.go
+++ b/search/search_test.go
@@ -123,8 +123,8 @@
 		most    int
 		again   bool
 	}{
-		"an extra attempt":           {search.Request{Extra: true}, retry.MostDenials(0, false), false},
-		"while these are scarce":     {search.Request{Extra: true, Scarce: true}, retry.MostDenials(0, true), false},
+		"an extra attempt":           {search.Request{Extra: true}, retry.MaxDenials(0, false), false},
+		"while these are scarce":     {search.Request{Extra: true, Scarce: true}, retry.MaxDenials(0, true), false},
 		"a first attempt goes on on": {search.Request{}, 30, true},
 	}
 	for name, test := range tests {
