--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -85,7 +85,7 @@
 	digests := make([]*slatewindv1.Digest, servers)
 	for i := range digests {
 		digests[i] = digest(fmt.Sprintf("s-%d", i), 32)
-		p.Heard(begin, digests[i], true)
+		p.ApplyDigest(begin, digests[i], true)
 	}
 	return p, digests
 }
@@ -111,11 +111,11 @@
 			p, digests := newPolicy(servers)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.First()
+				p.RecordFirst()
 				i := p.Pick(begin, slatewind.KindRepeatable, nil)
 				a := p.Started(begin, i, 1)
 				digests[i].Sequence++
-				p.Heard(begin, digests[i], true)
+				p.ApplyDigest(begin, digests[i], true)
 				p.Ended(a)
 			}
 		})
@@ -167,7 +167,7 @@
 			p := policy.NewService(fmt.Sprint("s", i), "dc-1", 1)
 			p.Update(begin, service("s", targetServers/targetServices), dataCentreOf)
 			for k := range targetServers / targetServices {
-				p.Heard(begin, digest(fmt.Sprintf("s-%d", k), 32), true)
+				p.ApplyDigest(begin, digest(fmt.Sprintf("s-%d", k), 32), true)
 			}
 			all = append(all, p)
 		}
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -89,7 +89,7 @@
 
 func (in *Ingress) unreached(rq *request, server *slatewindv1.Server, reason string) attemptResult {
 	rq.shard.mu.Lock()
-	rq.shard.policy.Unreached(time.Now(), server.GetName())
+	rq.shard.policy.ConnectFailed(time.Now(), server.GetName())
 	in.unlock(rq.shard)
 	return attemptResult{server: server, outcome: slatewind.OutcomeNotRun, ran: once.RanNotWritten, reason: reason}
 }
@@ -202,6 +202,6 @@
 	now := time.Now()
 	in.recent.Lost(now, rq.service.GetName(), a.server.GetName())
 	rq.shard.mu.Lock()
-	rq.shard.policy.Lost(now, a.server.GetName())
+	rq.shard.policy.ReplyLost(now, a.server.GetName())
 	in.unlock(rq.shard)
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -153,7 +153,7 @@
 // MembersChanged looks anew at where VMs are and which of them leave.
 func (in *Ingress) MembersChanged(now time.Time) {
 	in.eachShard(func(sh *shard) {
-		sh.policy.Locate(sh.service, in.members.DataCentre)
+		sh.policy.UpdateDataCentres(sh.service, in.members.DataCentre)
 		for _, server := range sh.service.GetServers() {
 			sh.policy.SetLeaving(now, server.GetName(), in.members.Leaving(server.GetVm()))
 		}
@@ -174,7 +174,7 @@
 	}
 	in.recent.Heard(now, digest)
 	sh.mu.Lock()
-	sh.policy.Heard(now, digest, direct)
+	sh.policy.ApplyDigest(now, digest, direct)
 	in.unlock(sh)
 }
 
@@ -211,10 +211,10 @@
 // what the detector wants to know is asked.
 func (in *Ingress) unlock(sh *shard) {
 	decisions := sh.policy.TakeDecisions()
-	vms := vmsOf(sh.service, sh.policy.Questions())
+	vms := vmsOf(sh.service, sh.policy.TakeRefreshRequests())
 	var news []*slatewindv1.Digest
 	for _, d := range decisions {
-		if last := sh.policy.Last(d.Server); d.Kind == slatewind.DecisionEject && last != nil {
+		if last := sh.policy.LastDigest(d.Server); d.Kind == slatewind.DecisionEject && last != nil {
 			news = append(news, last)
 		}
 	}
@@ -279,7 +279,7 @@
 			Name:     sh.service.GetName(),
 			Capacity: sh.policy.Capacity(),
 			Floor:    sh.service.GetFloor(),
-			Waiting:  sh.policy.Waiting(),
+			Waiting:  sh.policy.Pending(),
 			Servers:  sh.policy.Views(now),
 		})
 	})
--- a/ingress/repeatable.go
+++ b/ingress/repeatable.go
@@ -117,7 +117,7 @@
 	if failed {
 		r.serverError = &result
 	}
-	step := r.Take(time.Now(), result.outcome, failed)
+	step := r.Record(time.Now(), result.outcome, failed)
 	if step == policy.RaceRetry {
 		if r.extra(slatewind.DecisionRetry, why(result)) {
 			return final{}, false
--- a/ingress/request.go
+++ b/ingress/request.go
@@ -375,7 +375,7 @@
 // dispatch decides about a request until its final answer.
 func (in *Ingress) dispatch(ctx context.Context, rq *request) final {
 	rq.shard.mu.Lock()
-	rq.shard.policy.First()
+	rq.shard.policy.RecordFirst()
 	rq.shard.mu.Unlock()
 	if slatewind.Kind(rq.route.GetKind()) == slatewind.KindOnce {
 		return in.dispatchOnce(ctx, rq)
--- a/measure/model.go
+++ b/measure/model.go
@@ -344,7 +344,7 @@
 	if r.done {
 		return
 	}
-	switch step := r.race.Take(m.now(), outcome, failed); step {
+	switch step := r.race.Record(m.now(), outcome, failed); step {
 	case policy.RaceWon:
 		m.succeed(r)
 	case policy.RaceRetry:
--- a/measure/strategy.go
+++ b/measure/strategy.go
@@ -99,14 +99,14 @@
 }
 
 func (o *ours) Heard(now time.Time, d *slatewindv1.Digest, direct bool) {
-	o.service.Heard(now, d, direct)
+	o.service.ApplyDigest(now, d, direct)
 }
 
 func (o *ours) Result(time.Time, int, bool) {}
 
-func (o *ours) Lost(now time.Time, i int) { o.service.Lost(now, serverName(i)) }
+func (o *ours) Lost(now time.Time, i int) { o.service.ReplyLost(now, serverName(i)) }
 
-func (o *ours) First() { o.service.First() }
+func (o *ours) First() { o.service.RecordFirst() }
 
 func (o *ours) Extra() bool { return o.service.TakeExtra() }
 
@@ -124,7 +124,7 @@
 	return ejected
 }
 
-func (o *ours) Questions() []string { return o.service.Questions() }
+func (o *ours) Questions() []string { return o.service.TakeRefreshRequests() }
 
 func (o *ours) Confirm(now time.Time) { o.service.Confirm(now) }
 
--- a/outlier/confirm.go
+++ b/outlier/confirm.go
@@ -21,10 +21,10 @@
 	refreshServers = 5
 )
 
-// Questions returns the servers whose current digests are needed to confirm a
+// TakeRefreshRequests returns the servers whose current digests are needed to confirm a
 // suspicion, and clears the list. The caller fetches the digests, observes their
 // outcomes and then calls Confirm.
-func (d *Detector) Questions() []string {
+func (d *Detector) TakeRefreshRequests() []string {
 	requests := d.refreshRequests
 	d.refreshRequests = nil
 	return requests
--- a/outlier/observe.go
+++ b/outlier/observe.go
@@ -35,9 +35,9 @@
 	d.judge(now, i)
 }
 
-// Heard records that the data about a server is current at now, whether or not
+// MarkCurrent records that the data about a server is current at now, whether or not
 // there were new outcomes.
-func (d *Detector) Heard(now time.Time, server string) {
+func (d *Detector) MarkCurrent(now time.Time, server string) {
 	if i := d.Find(server); i >= 0 {
 		d.servers[i].updatedAt = now
 	}
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -156,7 +156,7 @@
 			later := begin.Add(10 * time.Second)
 			observe(later, "s0", 80*time.Millisecond, 20)
 			assert.Equal(t, d.Servers()[0].State, slatewind.ServerHealthy)
-			assert.DeepEqual(t, d.Questions(), []string{"s1", "s2", "s0"})
+			assert.DeepEqual(t, d.TakeRefreshRequests(), []string{"s1", "s2", "s0"})
 			observe(later, "s1", tt.othersLatency, 8)
 			observe(later, "s2", tt.othersLatency, 8)
 			d.Confirm(later)
--- a/policy/digest.go
+++ b/policy/digest.go
@@ -8,9 +8,9 @@
 	"slatewind.example/slatewind/outlier"
 )
 
-// Heard applies a digest of a server from its sidecar, received with a reply (direct)
+// ApplyDigest applies a digest of a server from its sidecar, received with a reply (direct)
 // or by gossip.
-func (s *Service) Heard(now time.Time, d *slatewindv1.Digest, direct bool) {
+func (s *Service) ApplyDigest(now time.Time, d *slatewindv1.Digest, direct bool) {
 	i := s.detector.Find(d.GetServer())
 	if i < 0 {
 		return
@@ -32,7 +32,7 @@
 	s.detector.SetLeaving(now, d.GetServer(), sv.reportsLeaving || sv.listedLeaving)
 	if len(d.GetOutcomes()) > 0 || d.GetSequence() == sv.sequence {
 		// Without its newest outcomes the data about a server is not current.
-		s.detector.Heard(now, d.GetServer())
+		s.detector.MarkCurrent(now, d.GetServer())
 	}
 	s.observeNew(now, sv, d)
 	if direct {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -109,12 +109,12 @@
 		servers[i].slots = float64(sv.GetSlots())
 	}
 	s.servers = servers
-	s.Locate(settings, dataCentre)
+	s.UpdateDataCentres(settings, dataCentre)
 	s.detector.Update(now, int(settings.GetFloor()), settings.GetCaution(), names)
 }
 
-// Locate updates the data centres of the servers' VMs.
-func (s *Service) Locate(settings *slatewindv1.Service, dataCentre func(vm string) string) {
+// UpdateDataCentres updates the data centres of the servers' VMs.
+func (s *Service) UpdateDataCentres(settings *slatewindv1.Service, dataCentre func(vm string) string) {
 	s.local, s.remote = s.local[:0], s.remote[:0]
 	for i, sv := range settings.GetServers() {
 		if dataCentre(sv.GetVm()) == s.dataCentre {
@@ -188,8 +188,8 @@
 	return None
 }
 
-// First records a first attempt in the budget for extra attempts.
-func (s *Service) First() {
+// RecordFirst records a first attempt in the budget for extra attempts.
+func (s *Service) RecordFirst() {
 	s.budget.RecordFirst()
 }
 
@@ -218,9 +218,9 @@
 	s.servers[i].load = max(s.servers[i].load-1, 0)
 }
 
-// Unreached records that a server's sidecar could not be reached, so that no request was
+// ConnectFailed records that a server's sidecar could not be reached, so that no request was
 // sent. The server gets no requests for a time that doubles with each failure.
-func (s *Service) Unreached(now time.Time, name string) {
+func (s *Service) ConnectFailed(now time.Time, name string) {
 	i := s.detector.Find(name)
 	if i < 0 {
 		return
@@ -231,8 +231,8 @@
 	s.detector.SetReachable(now, name, false)
 }
 
-// Lost records that an attempt was sent and no reply arrived.
-func (s *Service) Lost(now time.Time, name string) {
+// ReplyLost records that an attempt was sent and no reply arrived.
+func (s *Service) ReplyLost(now time.Time, name string) {
 	s.detector.ObservePath(now, name, false)
 }
 
@@ -285,8 +285,8 @@
 	s.detector.Observe(now, o)
 }
 
-// Waiting returns the number of attempts that have no reply yet.
-func (s *Service) Waiting() int {
+// Pending returns the number of attempts that have no reply yet.
+func (s *Service) Pending() int {
 	return len(s.pending)
 }
 
@@ -299,11 +299,11 @@
 	s.detector.Tick(now)
 }
 
-// Questions returns the servers whose current digests are needed to confirm a
+// TakeRefreshRequests returns the servers whose current digests are needed to confirm a
 // suspicion, and clears the list. The caller fetches the digests, applies them and then
 // calls Confirm.
-func (s *Service) Questions() []string {
-	return s.detector.Questions()
+func (s *Service) TakeRefreshRequests() []string {
+	return s.detector.TakeRefreshRequests()
 }
 
 // Confirm judges the suspicions that wait for fresh digests.
@@ -316,8 +316,8 @@
 	return s.detector.TakeDecisions()
 }
 
-// Last returns the newest digest of a server, or nil if there is none.
-func (s *Service) Last(name string) *slatewindv1.Digest {
+// LastDigest returns the newest digest of a server, or nil if there is none.
+func (s *Service) LastDigest(name string) *slatewindv1.Digest {
 	i := s.detector.Find(name)
 	if i < 0 {
 		return nil
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -46,7 +46,7 @@
 func TestListedLeavingOverridesDigest(t *testing.T) {
 	p := newService(2)
 	p.SetLeaving(begin, "s0", true)
-	p.Heard(begin, digest("s0", 1, false), true)
+	p.ApplyDigest(begin, digest("s0", 1, false), true)
 	assert.Equal(t, picks(p, begin)["s0"], 0)
 	p.SetLeaving(begin, "s0", false)
 	assert.Assert(t, picks(p, begin)["s0"] > 0)
@@ -57,11 +57,11 @@
 // server to service.
 func TestLateDigestChangesNothing(t *testing.T) {
 	p := newService(2)
-	p.Heard(begin, digest("s0", 5, true), true)
-	p.Heard(begin, digest("s0", 4, false), true)
+	p.ApplyDigest(begin, digest("s0", 5, true), true)
+	p.ApplyDigest(begin, digest("s0", 4, false), true)
 	before := digest("s0", 9, false)
 	before.Incarnation = 1
-	p.Heard(begin, before, true)
+	p.ApplyDigest(begin, before, true)
 	assert.Equal(t, picks(p, begin)["s0"], 0)
 	assert.Equal(t, p.Incarnation("s0"), uint64(1<<24|1))
 }
@@ -84,12 +84,12 @@
 // better than a refusal.
 func TestUnreachableServersAreSkipped(t *testing.T) {
 	p := newService(2)
-	p.Unreached(begin, "s0")
+	p.ConnectFailed(begin, "s0")
 	assert.Equal(t, picks(p, begin)["s0"], 0)
 	assert.Equal(t, p.Capacity(), 1)
 	assert.Assert(t, picks(p, begin.Add(time.Second))["s0"] > 0)
-	p.Unreached(begin, "s0")
-	p.Unreached(begin, "s1")
+	p.ConnectFailed(begin, "s0")
+	p.ConnectFailed(begin, "s1")
 	assert.Assert(t, len(picks(p, begin)) > 0)
 }
 
@@ -110,7 +110,7 @@
 				}
 				d := digest(server, serials, false)
 				d.Sequence, d.Outcomes = serials*outlier.RingSize, ring.Newest(nil)
-				p.Heard(now, d, true)
+				p.ApplyDigest(now, d, true)
 			}
 			for _, server := range []string{"s0", "s1", "s2"} {
 				receive(server)
@@ -136,15 +136,15 @@
 func TestRace(t *testing.T) {
 	r := policy.NewRace(begin.Add(time.Second))
 	r.Launched(0)
-	assert.Equal(t, r.Take(begin, slatewind.OutcomeNotRun, false), policy.RaceRetry)
+	assert.Equal(t, r.Record(begin, slatewind.OutcomeNotRun, false), policy.RaceRetry)
 	r.Launched(1)
 	r.Launched(2)
-	assert.Equal(t, r.Take(begin, slatewind.OutcomeUnknown, false), policy.RaceWait)
-	assert.Equal(t, r.Take(begin, slatewind.OutcomeNotRun, false), policy.RaceLost)
+	assert.Equal(t, r.Record(begin, slatewind.OutcomeUnknown, false), policy.RaceWait)
+	assert.Equal(t, r.Record(begin, slatewind.OutcomeNotRun, false), policy.RaceLost)
 	assert.Equal(t, r.Outcome(), slatewind.OutcomeUnknown)
 
 	late := policy.NewRace(begin)
 	late.Launched(0)
-	assert.Equal(t, late.Take(begin, slatewind.OutcomeNotRun, false), policy.RaceLost)
+	assert.Equal(t, late.Record(begin, slatewind.OutcomeNotRun, false), policy.RaceLost)
 	assert.Equal(t, late.Outcome(), slatewind.OutcomeNotRun)
 }
--- a/policy/race.go
+++ b/policy/race.go
@@ -54,9 +54,9 @@
 	return len(r.Tried) < MaxAttempts && now.Before(r.deadline)
 }
 
-// Take records the result of an attempt and returns the next step. failed is set if the
+// Record records the result of an attempt and returns the next step. failed is set if the
 // answer is a server error.
-func (r *Race) Take(now time.Time, outcome slatewind.Outcome, failed bool) RaceStep {
+func (r *Race) Record(now time.Time, outcome slatewind.Outcome, failed bool) RaceStep {
 	r.pending--
 	if outcome == slatewind.OutcomeAnswer && !failed {
 		return RaceWon
--- a/replay/events.go
+++ b/replay/events.go
@@ -89,9 +89,9 @@
 		switch {
 		case service == nil:
 		case e.Lost.Unsent:
-			service.Unreached(p.now(), e.Lost.Server)
+			service.ConnectFailed(p.now(), e.Lost.Server)
 		default:
-			service.Lost(p.now(), e.Lost.Server)
+			service.ReplyLost(p.now(), e.Lost.Server)
 		}
 	})
 }
@@ -113,7 +113,7 @@
 		digest := s.digest()
 		digest.InFlight = e.Load.InFlight
 		digest.Queued = e.Load.Queued
-		n.policies[s.service].Heard(p.now(), digest, true)
+		n.policies[s.service].ApplyDigest(p.now(), digest, true)
 	})
 }
 
@@ -141,7 +141,7 @@
 	if e.Leaving.Silent {
 		return
 	}
-	p.at(e, func(n *node) { n.policies[s.service].Heard(p.now(), s.digest(), false) })
+	p.at(e, func(n *node) { n.policies[s.service].ApplyDigest(p.now(), s.digest(), false) })
 }
 
 func (p *player) listed(e Event) {
--- a/replay/side.go
+++ b/replay/side.go
@@ -166,14 +166,14 @@
 		s.ring.Add(0, slatewind.ResultOK, latency)
 	})
 	if s.mode == ModeDown {
-		service.Unreached(p.now(), s.name)
+		service.ConnectFailed(p.now(), s.name)
 		return
 	}
 	if !arrived || p.network.lost(s.name, n.name) {
-		service.Lost(p.now(), s.name)
+		service.ReplyLost(p.now(), s.name)
 		return
 	}
-	service.Heard(p.now(), s.digest(), true)
+	service.ApplyDigest(p.now(), s.digest(), true)
 }
 
 // request plays a caller's once-request at a node to its final answer.
