--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -88,5 +88,5 @@
 func (n *Node) takeReports(reports []*slatewindv1.ServerReport) {
 	now := time.Now()
 	n.reports.Take(now, reports)
-	n.outbound.Told(now, reports)
+	n.outbound.ApplyReports(now, reports)
 }
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -168,8 +168,8 @@
 	return state
 }
 
-// Told records the server states that other processes reported.
-func (o *Outbound) Told(now time.Time, reports []*slatewindv1.ServerReport) {
+// ApplyReports records the server states that other processes reported.
+func (o *Outbound) ApplyReports(now time.Time, reports []*slatewindv1.ServerReport) {
 	for _, r := range reports {
 		o.mu.RLock()
 		server, known := o.servers[r.GetServer()]
