--- a/policy/digest.go
+++ b/policy/digest.go
@@ -51,7 +51,7 @@
 	return d.GetSerial() < sv.serial
 }
 
-// noteIncarnation resets the data about a server if its sidecar is a new process.
+// updateIncarnation resets the data about a server if its sidecar is a new process.
 func (s *Service) updateIncarnation(now time.Time, sv *server, d *slatewindv1.Digest) {
 	process := attempt.ProcessOf(d.GetIncarnation())
 	if process == attempt.ProcessOf(sv.incarnation) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy combines the decisions of an ingress about one service: which servers
 // are unhealthy (outlier), which server gets the next request (balance), and how many
-// extra attempts are allowed (retry). Its input are events with their times, its output
-// are decisions. It uses no clock, no input or output and no goroutine, so the daemon,
+// extra attempts are allowed (retry). Its input is events with their times, its output
+// is decisions. It uses no clock, no input or output and no goroutine, so the daemon,
 // the replay of traces and the measurements run the same code.
 package policy
 
@@ -53,8 +53,8 @@
 	// reportedAt is when the newest digest came with a reply.
 	reportedAt time.Time
 	lastTrial  time.Time
-	// backoff is zero if the sidecar can be reached; otherwise no request is sent
-	// before retryAt.
+	// backoff is zero if the sidecar can be reached. Otherwise no request is sent before
+	// retryAt, unless no other server can be chosen.
 	backoff time.Duration
 	retryAt time.Time
 }
--- a/retry/model_test.go
+++ b/retry/model_test.go
@@ -121,7 +121,7 @@
 	return k
 }
 
-// mark writes the marks that are at most so many ticks old to ages.
+// mark writes to ages the marks that are no older than the given number of ticks.
 func (b *state) mark(ages *[maxMarks][2]int8, marks []mark, firsts, ticks int) {
 	j := 0
 	for _, m := range marks {
