--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -91,9 +91,9 @@
 // of rejections.
 const shareWeight = 0.2
 
-// UsefulShare is the share of successes, from 0 to 1, from which a sick server
+// MinUsefulShare is the share of successes, from 0 to 1, from which a sick server
 // is better than none.
-const UsefulShare = 0.5
+const MinUsefulShare = 0.5
 
 // Breaker is the judgement of one server. It is not safe for use by several
 // goroutines; its host guards it.
@@ -130,8 +130,8 @@
 // Score returns the suspicion; at 1 the breaker opens.
 func (b *Breaker) Score() float64 { return b.score }
 
-// Ask says what kind of request wants to go to the server.
-type Ask struct {
+// Constraints says what kind of request wants to go to the server.
+type Constraints struct {
 	// Careful requests must not be trials: they cannot be repeated, or no further
 	// attempt is left to them.
 	Careful bool
@@ -140,30 +140,30 @@
 	Scarce bool
 	// LastResort requests have no healthy server to go to.
 	LastResort bool
-	// Bears is how much suspicion a careful request bears: a hanging server would
+	// MaxSuspicion is how much suspicion a careful request bears: a hanging server would
 	// take it for good.
-	Bears float64
+	MaxSuspicion float64
 }
 
-// Guarded reports whether the request keeps off servers that look sick.
-func (a Ask) Guarded() bool { return a.Careful || a.Scarce }
+// RiskAverse reports whether the request keeps off servers that look sick.
+func (a Constraints) RiskAverse() bool { return a.Careful || a.Scarce }
 
 // bears returns how much suspicion the request bears. Also as a last resort it
 // keeps off a server that nearly surely hangs: it would be lost, and hold a slot
 // until its time is over.
-func (a Ask) bears() float64 {
+func (a Constraints) bears() float64 {
 	if a.LastResort {
 		return lastResortBears
 	}
-	return min(a.Bears, lastResortBears)
+	return min(a.MaxSuspicion, lastResortBears)
 }
 
 // Allow reports whether a request may go to the server now.
-func (b *Breaker) Allow(now time.Time, ask Ask) bool {
+func (b *Breaker) Allow(now time.Time, ask Constraints) bool {
 	switch {
 	case b.state == StateClosed:
-		return !ask.Guarded() || b.Suspicion(now) <= ask.bears()
-	case ask.LastResort && b.share >= UsefulShare:
+		return !ask.RiskAverse() || b.Suspicion(now) <= ask.bears()
+	case ask.LastResort && b.share >= MinUsefulShare:
 		return true
 	case ask.Careful:
 		return false
@@ -175,11 +175,11 @@
 	return b.trials() == 0 && now.Sub(b.lastTrial) >= b.trialAfter
 }
 
-// Shed returns the share of the newest requests that the server rejected.
-func (b *Breaker) Shed() float64 { return b.shed }
+// ShedShare returns the share of the newest requests that the server rejected.
+func (b *Breaker) ShedShare() float64 { return b.shed }
 
-// Share returns the share of the newest requests that the server answered well.
-func (b *Breaker) Share() float64 { return b.share }
+// SuccessShare returns the share of the newest requests that the server answered well.
+func (b *Breaker) SuccessShare() float64 { return b.share }
 
 // RetryAfter returns how long it is until a trial is due, or zero where the
 // breaker is closed.
@@ -196,7 +196,7 @@
 // TrialIn returns how long it is until a trial is let through, or zero where one would be
 // now or the breaker is closed.
 func (b *Breaker) TrialIn(now time.Time) time.Duration {
-	if b.Allow(now, Ask{}) {
+	if b.Allow(now, Constraints{}) {
 		return 0
 	}
 	return max(b.RetryAfter(now), trialRunning)
--- a/breaker/breaker_test.go
+++ b/breaker/breaker_test.go
@@ -169,10 +169,10 @@
 		t.Run(name, func(t *testing.T) {
 			b, now := run(test.steps)
 			assert.Equal(t, b.State(), test.state)
-			assert.Equal(t, b.Allow(now, breaker.Ask{}), test.trial, "trial")
-			assert.Equal(t, b.Allow(now, breaker.Ask{Careful: true, Bears: 1}), test.careful, "careful")
-			assert.Equal(t, b.Allow(now, breaker.Ask{Careful: true, LastResort: true}), test.lastResort, "last resort")
-			assert.Equal(t, b.Allow(now, breaker.Ask{LastResort: true}), true, "repeatable last resort")
+			assert.Equal(t, b.Allow(now, breaker.Constraints{}), test.trial, "trial")
+			assert.Equal(t, b.Allow(now, breaker.Constraints{Careful: true, MaxSuspicion: 1}), test.careful, "careful")
+			assert.Equal(t, b.Allow(now, breaker.Constraints{Careful: true, LastResort: true}), test.lastResort, "last resort")
+			assert.Equal(t, b.Allow(now, breaker.Constraints{LastResort: true}), true, "repeatable last resort")
 		})
 	}
 }
@@ -198,7 +198,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			b, now := run(test.steps)
-			assert.Equal(t, b.Allow(now, breaker.Ask{}), test.trial)
+			assert.Equal(t, b.Allow(now, breaker.Constraints{}), test.trial)
 		})
 	}
 }
@@ -207,18 +207,18 @@
 func TestTrialGivenBack(t *testing.T) {
 	b, now := run([]step{{start: "x"}, {after: ms, end: "x", result: breaker.ResultBroken}, {after: 410 * ms}})
 	for _, id := range []string{"a", "b"} {
-		assert.Assert(t, b.Allow(now, breaker.Ask{}))
+		assert.Assert(t, b.Allow(now, breaker.Constraints{}))
 		b.Grant(now, id, "route", 0)
-		assert.Assert(t, !b.Allow(now, breaker.Ask{}), "one trial at a time")
+		assert.Assert(t, !b.Allow(now, breaker.Constraints{}), "one trial at a time")
 		now = now.Add(100 * ms)
 		b.End(now, id, breaker.ResultNone)
 	}
-	assert.Assert(t, b.Allow(now, breaker.Ask{}))
-	assert.Assert(t, !b.Allow(now, breaker.Ask{Scarce: true}))
-	assert.Assert(t, b.Allow(now.Add(breaker.TrialOverdue), breaker.Ask{Scarce: true}), "it is overdue since the first")
+	assert.Assert(t, b.Allow(now, breaker.Constraints{}))
+	assert.Assert(t, !b.Allow(now, breaker.Constraints{Scarce: true}))
+	assert.Assert(t, b.Allow(now.Add(breaker.TrialOverdue), breaker.Constraints{Scarce: true}), "it is overdue since the first")
 	b.Grant(now, "c", "route", 0)
 	b.End(now, "c", breaker.ResultBroken)
-	assert.Assert(t, !b.Allow(now, breaker.Ask{}), "one for which no connection opened is a failed trial")
+	assert.Assert(t, !b.Allow(now, breaker.Constraints{}), "one for which no connection opened is a failed trial")
 }
 
 // TestTrialIn states how long it is until a server gets a trial.
@@ -255,8 +255,8 @@
 	}
 	assert.Equal(t, b.State(), breaker.StateOpen)
 	due := now.Add(b.RetryAfter(now))
-	assert.Assert(t, b.Allow(due, breaker.Ask{}))
-	assert.Assert(t, !b.Allow(due, breaker.Ask{Scarce: true}))
-	assert.Assert(t, b.Allow(due.Add(breaker.TrialOverdue), breaker.Ask{Scarce: true}))
-	assert.Assert(t, !b.Allow(due.Add(breaker.TrialOverdue), breaker.Ask{Scarce: true, Careful: true}))
+	assert.Assert(t, b.Allow(due, breaker.Constraints{}))
+	assert.Assert(t, !b.Allow(due, breaker.Constraints{Scarce: true}))
+	assert.Assert(t, b.Allow(due.Add(breaker.TrialOverdue), breaker.Constraints{Scarce: true}))
+	assert.Assert(t, !b.Allow(due.Add(breaker.TrialOverdue), breaker.Constraints{Scarce: true, Careful: true}))
 }
--- a/breaker/running.go
+++ b/breaker/running.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Late returns the requests that take longer than they do on average, and those whose answers
+// LateRequests returns the requests that take longer than they do on average, and those whose answers
 // were unread. SetUnread tells whether that is the server's doing.
-func (b *Breaker) Late(now time.Time) (ids []string) {
+func (b *Breaker) LateRequests(now time.Time) (ids []string) {
 	for id, r := range b.running {
 		if mean := b.meanFor(r); r.unread || !r.paused && mean > 0 && r.took(now) > mean {
 			ids = append(ids, id)
@@ -125,10 +125,10 @@
 	}
 }
 
-// Unwatched notes that nobody watched the server for some time until now: the process
+// ExcludePause notes that nobody watched the server for some time until now: the process
 // beside it did not run, and answers may wait unread. That time tells nothing of the server,
 // so it does not count as its own.
-func (b *Breaker) Unwatched(now time.Time, pause time.Duration) {
+func (b *Breaker) ExcludePause(now time.Time, pause time.Duration) {
 	for _, r := range b.running {
 		if r.paused {
 			continue
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -22,14 +22,14 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// Told is what the process beside a server told of it.
-type Told struct {
+// Status is what the process beside a server told of it.
+type Status struct {
 	// Load is how many requests hold a slot or wait for one, Slots how many
 	// slots there are.
 	Load  float64
 	Slots float64
-	// Sick says that the breaker is not closed.
-	Sick    bool
+	// Unhealthy says that the breaker is not closed.
+	Unhealthy    bool
 	Leaving bool
 	// SuccessShare is the share of its newest requests that it answered well,
 	// from 0 to 1.
@@ -63,7 +63,7 @@
 	// hash is that of its address.
 	hash uint64
 	// told is the newest state, as it was told at toldAt.
-	told   Told
+	told   Status
 	toldAt time.Time
 	// trialAt is when a trial of it became due, or will.
 	trialAt time.Time
@@ -157,10 +157,10 @@
 	return place
 }
 
-// Want says what the request is like that needs a server.
-type Want struct {
+// Request says what the request is like that needs a server.
+type Request struct {
 	// Ask says what it may do to servers that look sick.
-	breaker.Ask
+	breaker.Constraints
 	// Extra says that a server has seen it before, or may see it.
 	Extra bool
 	// Bytes is how many bytes it and its answer are expected to have.
@@ -174,19 +174,19 @@
 	// Cost is what it costs to send the request there; 1 is a server all of whose
 	// slots are in use.
 	Cost float64
-	// Unheard says that nothing was heard of it lately.
-	Unheard bool
+	// Stale says that nothing was heard of it lately.
+	Stale bool
 }
 
 // ID returns the identity of the server's start, by which the service knows it.
 func (c Candidate) ID() string { return c.id }
 
 // Order returns the servers that may get a request, cheapest first.
-func (s *Service) Order(now time.Time, want Want) []Candidate {
+func (s *Service) Order(now time.Time, want Request) []Candidate {
 	list := make([]Candidate, 0, len(s.servers))
 	unheardCost := sickCost * s.sickShare(now)
 	for _, server := range s.servers {
-		if server.passedOver(now, want) != PassNone {
+		if server.passedOver(now, want) != DispositionNone {
 			continue
 		}
 		cost := s.cost(now, server, want) + jitter*s.random.Float64() - s.trialRelief(now, server, want)
@@ -222,18 +222,18 @@
 			continue
 		}
 		heard++
-		if server.told.Sick {
+		if server.told.Unhealthy {
 			sick++
 		}
 	}
 	return shareOf(sick, heard)
 }
 
-// PassedOver reports whether a server is not to be asked any more: it may have been heard
+// Skipped reports whether a server is not to be asked any more: it may have been heard
 // of since the order was made.
-func (s *Service) PassedOver(now time.Time, id string, want Want) bool {
+func (s *Service) Skipped(now time.Time, id string, want Request) bool {
 	server := s.servers[id]
-	return server == nil || server.passedOver(now, want) != PassNone
+	return server == nil || server.passedOver(now, want) != DispositionNone
 }
 
 // Reserved notes that a reservation goes to a server.
@@ -253,8 +253,8 @@
 	}
 }
 
-// Heard takes the state that the process beside a server replied with.
-func (s *Service) Heard(now time.Time, id string, told Told) {
+// Replied takes the state that the process beside a server replied with.
+func (s *Service) Replied(now time.Time, id string, told Status) {
 	server := s.servers[id]
 	if server == nil {
 		return
@@ -267,7 +267,7 @@
 
 // Reported takes the state that the process beside a server told another one at a time,
 // unless a newer one is known. What was sent there since counts on.
-func (s *Service) Reported(at time.Time, id string, told Told) {
+func (s *Service) Reported(at time.Time, id string, told Status) {
 	server := s.servers[id]
 	if server == nil || !at.After(server.toldAt) {
 		return
@@ -277,8 +277,8 @@
 
 // tell notes a state that was told at a time. A trial that was due already and was not made is
 // due since then.
-func (server *Server) tell(at time.Time, told Told) {
-	if trialAt := at.Add(told.TrialIn); !server.told.Sick || told.TrialIn > 0 || server.trialAt.After(trialAt) {
+func (server *Server) tell(at time.Time, told Status) {
+	if trialAt := at.Add(told.TrialIn); !server.told.Unhealthy || told.TrialIn > 0 || server.trialAt.After(trialAt) {
 		server.trialAt = trialAt
 	}
 	server.told, server.toldAt = told, at
@@ -291,9 +291,9 @@
 	}
 }
 
-// Silent notes that the process beside a server did not reply; it is avoided for
+// NoReply notes that the process beside a server did not reply; it is avoided for
 // a while, twice as long each time up to maxSilence.
-func (s *Service) Silent(now time.Time, id string) {
+func (s *Service) NoReply(now time.Time, id string) {
 	if server := s.servers[id]; server != nil {
 		server.silence = min(max(2*server.silence, firstSilence), maxSilence)
 		server.avoid = now.Add(server.silence)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -21,11 +21,11 @@
 	entry := func(name, dc string) slatewind.ServerEntry {
 		return slatewind.ServerEntry{Name: name, Service: "s", DataCentre: dc, Slots: 4}
 	}
-	careful := breaker.Ask{Careful: true}
+	careful := breaker.Constraints{Careful: true}
 	tests := map[string]struct {
 		hear  func(s *choice.Service)
 		after time.Duration
-		ask   breaker.Ask
+		ask   breaker.Constraints
 		// bytes is the size of the request and its answer.
 		bytes float64
 		// first is asked before all others; without are not asked.
@@ -35,59 +35,59 @@
 		"a scarce request asks a sick server whose trial is overdue, however often it says so": {
 			hear: func(s *choice.Service) {
 				for _, at := range []time.Duration{0, 100 * ms, 200 * ms, 300 * ms} {
-					s.Heard(start.Add(at-300*ms), "near-1", choice.Told{Sick: true})
+					s.Replied(start.Add(at-300*ms), "near-1", choice.Status{Unhealthy: true})
 				}
-				s.Heard(start, "near-2", choice.Told{Sick: true})
+				s.Replied(start, "near-2", choice.Status{Unhealthy: true})
 			},
-			ask: breaker.Ask{Scarce: true}, without: []string{"near-2"},
+			ask: breaker.Constraints{Scarce: true}, without: []string{"near-2"},
 		},
 		"a full server makes the far ones cheaper": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 5, Slots: 4})
-				s.Heard(start, "near-2", choice.Told{Load: 6, Slots: 4})
-				s.Heard(start, "far-1", choice.Told{Load: 3, Slots: 4})
+				s.Replied(start, "near-1", choice.Status{Load: 5, Slots: 4})
+				s.Replied(start, "near-2", choice.Status{Load: 6, Slots: 4})
+				s.Replied(start, "far-1", choice.Status{Load: 3, Slots: 4})
 			},
 			first: "far-2",
 		},
 		"a large request stays near although the servers are full": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 5, Slots: 4})
-				s.Heard(start, "near-2", choice.Told{Load: 6, Slots: 4})
+				s.Replied(start, "near-1", choice.Status{Load: 5, Slots: 4})
+				s.Replied(start, "near-2", choice.Status{Load: 6, Slots: 4})
 			},
 			bytes: 9000,
 			first: "near-1",
 		},
 		"a large request leaves long queues": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 15, Slots: 4})
-				s.Heard(start, "near-2", choice.Told{Load: 16, Slots: 4})
-				s.Heard(start, "far-1", choice.Told{Load: 3, Slots: 4})
+				s.Replied(start, "near-1", choice.Status{Load: 15, Slots: 4})
+				s.Replied(start, "near-2", choice.Status{Load: 16, Slots: 4})
+				s.Replied(start, "far-1", choice.Status{Load: 3, Slots: 4})
 			},
 			bytes: 9000,
 			first: "far-2",
 		},
 		"near goes first while it is not much fuller": {
-			hear:  func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Load: 3, Slots: 4}) },
+			hear:  func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 3, Slots: 4}) },
 			first: "near-2",
 		},
 		"a leaving server is not asked": {
-			hear:    func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Leaving: true}) },
+			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Leaving: true}) },
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
 		"a sick server is not asked before its trial": {
-			hear:    func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Sick: true, TrialIn: 200 * ms}) },
+			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
 			after:   100 * ms,
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
 		"a sick server is asked when its trial is due": {
-			hear:  func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Sick: true, TrialIn: 200 * ms}) },
+			hear:  func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
 			after: 210 * ms,
 			first: "near-2",
 		},
 		"a careful request keeps away longer": {
-			hear:    func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Sick: true, TrialIn: 200 * ms}) },
+			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
 			after:   210 * ms,
 			ask:     careful,
 			first:   "near-2",
@@ -95,22 +95,22 @@
 		},
 		"as a last resort a useful sick server is asked": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Sick: true, TrialIn: 200 * ms, SuccessShare: 0.7})
-				s.Heard(start, "near-2", choice.Told{Sick: true, TrialIn: 200 * ms, SuccessShare: 0.2})
+				s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms, SuccessShare: 0.7})
+				s.Replied(start, "near-2", choice.Status{Unhealthy: true, TrialIn: 200 * ms, SuccessShare: 0.2})
 			},
 			after:   10 * ms,
-			ask:     breaker.Ask{Careful: true, LastResort: true},
+			ask:     breaker.Constraints{Careful: true, LastResort: true},
 			without: []string{"near-2"},
 		},
 		"a full server is not asked again at once": {
-			hear:    func(s *choice.Service) { s.Heard(start, "near-1", choice.Told{Load: 4, Slots: 4, Full: true}) },
+			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true}) },
 			after:   50 * ms,
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
 		"a full server is not asked before half of its queue has run": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
+				s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
 			},
 			after:   190 * ms,
 			first:   "near-2",
@@ -118,21 +118,21 @@
 		},
 		"a full server is asked again then": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
+				s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
 			},
 			after: 210 * ms,
 			first: "near-2",
 		},
 		"a silent process is asked last": {
-			hear:  func(s *choice.Service) { s.Silent(start, "near-1") },
+			hear:  func(s *choice.Service) { s.NoReply(start, "near-1") },
 			after: 100 * ms,
 			first: "near-2",
 		},
 		"silence is forgiven by a word": {
 			hear: func(s *choice.Service) {
-				s.Silent(start, "near-1")
-				s.Heard(start, "near-1", choice.Told{Slots: 4})
-				s.Heard(start, "near-2", choice.Told{Load: 4, Slots: 4})
+				s.NoReply(start, "near-1")
+				s.Replied(start, "near-1", choice.Status{Slots: 4})
+				s.Replied(start, "near-2", choice.Status{Load: 4, Slots: 4})
 			},
 			first: "near-1",
 		},
@@ -146,14 +146,14 @@
 		},
 		"a server that has not answered for long is dearer": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Slots: 4, Suspicion: 4})
-				s.Heard(start, "near-2", choice.Told{Slots: 4})
+				s.Replied(start, "near-1", choice.Status{Slots: 4, Suspicion: 4})
+				s.Replied(start, "near-2", choice.Status{Slots: 4})
 			},
 			first: "near-2",
 		},
 		"a server that rejects is dearer": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Slots: 4, ShedShare: 0.5})
+				s.Replied(start, "near-1", choice.Status{Slots: 4, ShedShare: 0.5})
 			},
 			first: "near-2",
 		},
@@ -167,9 +167,9 @@
 		},
 		"a busy server goes before an unknown one where many are sick": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Load: 2, Slots: 4})
-				s.Heard(start, "far-1", choice.Told{Sick: true, TrialIn: time.Second})
-				s.Heard(start, "far-2", choice.Told{Sick: true, TrialIn: time.Second})
+				s.Replied(start, "near-1", choice.Status{Load: 2, Slots: 4})
+				s.Replied(start, "far-1", choice.Status{Unhealthy: true, TrialIn: time.Second})
+				s.Replied(start, "far-2", choice.Status{Unhealthy: true, TrialIn: time.Second})
 			},
 			ask:     careful,
 			first:   "near-1",
@@ -177,18 +177,18 @@
 		},
 		"a server that waits for a trial is asked now and then": {
 			hear: func(s *choice.Service) {
-				s.Reported(start, "near-1", choice.Told{Sick: true, TrialDue: true})
-				s.Heard(start, "near-2", choice.Told{Load: 4, Slots: 4})
+				s.Reported(start, "near-1", choice.Status{Unhealthy: true, TrialDue: true})
+				s.Replied(start, "near-2", choice.Status{Load: 4, Slots: 4})
 			},
 		},
 		"a report that is older than what was heard changes nothing": {
 			hear: func(s *choice.Service) {
-				s.Heard(start, "near-1", choice.Told{Slots: 4})
-				s.Reported(start.Add(-ms), "near-1", choice.Told{Sick: true, TrialIn: time.Second})
+				s.Replied(start, "near-1", choice.Status{Slots: 4})
+				s.Reported(start.Add(-ms), "near-1", choice.Status{Unhealthy: true, TrialIn: time.Second})
 			},
 		},
 		"a reported sickness counts": {
-			hear:    func(s *choice.Service) { s.Reported(start, "near-1", choice.Told{Sick: true, TrialIn: time.Second}) },
+			hear:    func(s *choice.Service) { s.Reported(start, "near-1", choice.Status{Unhealthy: true, TrialIn: time.Second}) },
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
@@ -217,7 +217,7 @@
 				}
 				test.hear(s)
 				var names []string
-				for _, e := range s.Order(start.Add(test.after), choice.Want{Ask: test.ask, Bytes: test.bytes}) {
+				for _, e := range s.Order(start.Add(test.after), choice.Request{Constraints: test.ask, Bytes: test.bytes}) {
 					names = append(names, e.Name)
 				}
 				if test.first != "" {
@@ -241,13 +241,13 @@
 	s := choice.NewService("dc", 1)
 	for _, name := range []string{"a", "b"} {
 		s.Put(now, slatewind.ServerEntry{Name: name, DataCentre: "dc", Slots: 2})
-		s.Heard(now, name, choice.Told{Slots: 2})
+		s.Replied(now, name, choice.Status{Slots: 2})
 	}
 	s.Reserved(now, "a")
-	assert.Equal(t, s.Order(now, choice.Want{})[0].Name, "b")
+	assert.Equal(t, s.Order(now, choice.Request{})[0].Name, "b")
 	s.Ended("a")
 	s.Reserved(now, "b")
-	assert.Equal(t, s.Order(now, choice.Want{})[0].Name, "a")
+	assert.Equal(t, s.Order(now, choice.Request{})[0].Name, "a")
 }
 
 // TestStoppingIsAskedAgain: a server whose process stops is asked again before long, since
@@ -266,8 +266,8 @@
 			now := time.Unix(1000, 0)
 			s := choice.NewService("near", 1)
 			s.Put(now, slatewind.ServerEntry{Name: "a", Service: "s", DataCentre: "near", Slots: 4})
-			s.Heard(now, "a", choice.Told{Stopping: true, BackIn: test.backIn})
-			assert.Equal(t, s.PassedOver(now.Add(test.age), "a", choice.Want{}), test.passedOver)
+			s.Replied(now, "a", choice.Status{Stopping: true, BackIn: test.backIn})
+			assert.Equal(t, s.Skipped(now.Add(test.age), "a", choice.Request{}), test.passedOver)
 		})
 	}
 }
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -74,29 +74,29 @@
 )
 
 // passedOver returns why a server is not asked for a slot now.
-func (server *Server) passedOver(now time.Time, want Want) Pass {
+func (server *Server) passedOver(now time.Time, want Request) Disposition {
 	age := now.Sub(server.toldAt)
 	switch {
 	case server.Leaving, server.told.Leaving && age < loadMemory:
-		return PassLeaving
+		return DispositionLeaving
 	case server.told.Stopping && age < min(server.told.BackIn, mostFullPause):
-		return PassStopping
+		return DispositionStopping
 	case server.told.Full && age < server.told.pause():
-		return PassFull
+		return DispositionFull
 	case want.Extra && server.told.Spent && age < spentPause:
-		return PassSpent
-	case server.told.Sick && !server.trialDue(now, want):
-		return PassSick
+		return DispositionSpent
+	case server.told.Unhealthy && !server.trialDue(now, want):
+		return DispositionSick
 	}
-	return PassNone
+	return DispositionNone
 }
 
 // trialDue reports whether a sick server may be asked.
-func (server *Server) trialDue(now time.Time, want Want) bool {
+func (server *Server) trialDue(now time.Time, want Request) bool {
 	age := now.Sub(server.toldAt)
 	switch {
 	case want.LastResort:
-		return server.told.SuccessShare >= breaker.UsefulShare || age >= sickPause || !want.Guarded() && age >= lastResortPause
+		return server.told.SuccessShare >= breaker.MinUsefulShare || age >= sickPause || !want.RiskAverse() && age >= lastResortPause
 	case want.Careful:
 		return age >= max(server.told.TrialIn, sickPause)
 	case want.Scarce:
@@ -111,12 +111,12 @@
 }
 
 // pause returns how long a server that was full is not asked again.
-func (t *Told) pause() time.Duration {
+func (t *Status) pause() time.Duration {
 	return min(max(t.SlotIn/2, fullPause), mostFullPause)
 }
 
 // cost returns a server's cost without the random part.
-func (s *Service) cost(now time.Time, server *Server, want Want) float64 {
+func (s *Service) cost(now time.Time, server *Server, want Request) float64 {
 	cost := server.occupancy(now)
 	if server.DataCentre != s.dataCentre {
 		cost += min(remoteCost+remoteByteCost*want.Bytes, mostRemoteCost)
@@ -134,19 +134,19 @@
 	if now.Sub(server.toldAt) < loadMemory {
 		cost += suspectCost * min(server.told.Suspicion, mostSuspicion)
 	}
-	if want.Guarded() && now.Sub(server.success) > recentSuccess {
+	if want.RiskAverse() && now.Sub(server.success) > recentSuccess {
 		cost += quietCost
 	}
 	return cost
 }
 
 // sickness is what a told sickness adds to a server's cost.
-func (server *Server) sickness(now time.Time, want Want) float64 {
+func (server *Server) sickness(now time.Time, want Request) float64 {
 	memory := sickMemory
 	if want.Careful {
 		memory = sickMemoryCareful
 	}
-	if !server.told.Sick || now.Sub(server.toldAt) >= memory {
+	if !server.told.Unhealthy || now.Sub(server.toldAt) >= memory {
 		return 0
 	}
 	return sickCost * (1 - sickRelief*server.told.SuccessShare)
@@ -155,7 +155,7 @@
 // trialRelief is what is taken off the cost of a server that waits for a trial, for some
 // of the requests that may be one. All processes near it hear that it waits, and a few
 // requests are enough.
-func (s *Service) trialRelief(now time.Time, server *Server, want Want) float64 {
+func (s *Service) trialRelief(now time.Time, server *Server, want Request) float64 {
 	due := server.told.TrialDue && (!want.Scarce || server.trialOverdue(now))
 	if want.Careful || !due || s.random.Float64() >= trialShare {
 		return 0
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -63,7 +63,7 @@
 
 // partOf returns the number of a server's part, which is made where it is new.
 func (q *Queue) partOf(server *Candidate) int {
-	g := group{server.DataCentre, server.Unheard}
+	g := group{server.DataCentre, server.Stale}
 	for i := range q.parts {
 		if q.parts[i].group == g {
 			return i
@@ -82,8 +82,8 @@
 	return n
 }
 
-// Heard notes the reply of a server's process.
-func (q *Queue) Heard(dataCentre string, sick bool) {
+// Replied notes the reply of a server's process.
+func (q *Queue) Replied(dataCentre string, sick bool) {
 	q.asked[dataCentre]++
 	if sick {
 		q.sick[dataCentre]++
--- a/choice/queue_test.go
+++ b/choice/queue_test.go
@@ -15,11 +15,11 @@
 func TestQueueAsksWhoWasHeardOf(t *testing.T) {
 	q := choice.NewQueue()
 	server := func(name string, cost float64, unheard bool) choice.Candidate {
-		return choice.Candidate{ServerEntry: &slatewind.ServerEntry{Name: name, DataCentre: "near"}, Cost: cost, Unheard: unheard}
+		return choice.Candidate{ServerEntry: &slatewind.ServerEntry{Name: name, DataCentre: "near"}, Cost: cost, Stale: unheard}
 	}
 	q.Fill([]choice.Candidate{server("idle-1", 0, true), server("idle-2", 0, true), server("busy", 0.8, false)})
-	q.Heard("near", true)
-	q.Heard("near", true)
+	q.Replied("near", true)
+	q.Replied("near", true)
 	first, _ := q.Take()
 	assert.Equal(t, first.Name, "busy")
 }
@@ -51,7 +51,7 @@
 					cost++
 				}
 				servers = append(servers, choice.Candidate{
-					ServerEntry: &slatewind.ServerEntry{Name: fmt.Sprint(dc, "-", n), DataCentre: dc}, Cost: cost, Unheard: true,
+					ServerEntry: &slatewind.ServerEntry{Name: fmt.Sprint(dc, "-", n), DataCentre: dc}, Cost: cost, Stale: true,
 				})
 			}
 			q.Fill(servers)
@@ -64,7 +64,7 @@
 				if server.DataCentre == "near" {
 					near++
 				}
-				q.Heard(server.DataCentre, sick)
+				q.Replied(server.DataCentre, sick)
 			}
 			assert.Equal(t, got, " "+test.want)
 			_, ok := q.Take()
--- a/choice/starts_test.go
+++ b/choice/starts_test.go
@@ -18,11 +18,11 @@
 	newer := older
 	newer.Start = 2
 	id := older.ID()
-	sick := choice.Told{Load: 9, Slots: 4, Sick: true, Leaving: true, ShedShare: 1, Suspicion: 4, Full: true, SlotIn: time.Second, TrialIn: time.Second}
+	sick := choice.Status{Load: 9, Slots: 4, Unhealthy: true, Leaving: true, ShedShare: 1, Suspicion: 4, Full: true, SlotIn: time.Second, TrialIn: time.Second}
 	tests := map[string]func(c *choice.Service){
-		"a reply":                     func(c *choice.Service) { c.Heard(now, id, sick) },
+		"a reply":                     func(c *choice.Service) { c.Replied(now, id, sick) },
 		"another process's word":      func(c *choice.Service) { c.Reported(now, id, sick) },
-		"a process that is silent":    func(c *choice.Service) { c.Silent(now, id) },
+		"a process that is silent":    func(c *choice.Service) { c.NoReply(now, id) },
 		"a server that moved":         func(c *choice.Service) { c.Moved(now, id) },
 		"a success":                   func(c *choice.Service) { c.Succeeded(now, id) },
 		"reservations":                func(c *choice.Service) { c.Reserved(now, id); c.Reserved(now, id) },
@@ -44,10 +44,10 @@
 				c := choice.NewService("dc", 1)
 				play(c)
 				assert.DeepEqual(t, c.Views(now), want)
-				candidates := c.Order(now, choice.Want{})
+				candidates := c.Order(now, choice.Request{})
 				assert.Equal(t, len(candidates), 1)
 				assert.Equal(t, candidates[0].ID(), newer.ID())
-				assert.Assert(t, candidates[0].Unheard)
+				assert.Assert(t, candidates[0].Stale)
 				assert.Assert(t, c.Takes(newer.ID()))
 				assert.Assert(t, !c.Takes(id), "an older start takes no request any more")
 			})
--- a/choice/survey.go
+++ b/choice/survey.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Pass says why a server is not asked for a slot.
-type Pass string
+// Disposition says why a server is not asked for a slot.
+type Disposition string
 
-// Causes for which a server is passed over. PassNone is the empty word.
+// Causes for which a server is passed over. DispositionNone is the empty word.
 const (
-	PassNone    Pass = ""
-	PassLeaving Pass = "leaving"
-	// PassStopping servers are well, but the process beside them is about to end.
-	PassStopping Pass = "stopping"
-	PassFull     Pass = "full"
-	PassSick     Pass = "sick"
-	// PassSpent servers may get no extra arrival just then.
-	PassSpent Pass = "spent"
+	DispositionNone    Disposition = ""
+	DispositionLeaving Disposition = "leaving"
+	// DispositionStopping servers are well, but the process beside them is about to end.
+	DispositionStopping Disposition = "stopping"
+	DispositionFull     Disposition = "full"
+	DispositionSick     Disposition = "sick"
+	// DispositionSpent servers may get no extra arrival just then.
+	DispositionSpent Disposition = "spent"
 )
 
 // Words for servers that are not passed over.
 const (
-	beliefAsked  Pass = "asked"
-	beliefTried  Pass = "tried"
-	beliefSilent Pass = "silent"
-	beliefLeft   Pass = "left"
+	beliefAsked  Disposition = "asked"
+	beliefTried  Disposition = "tried"
+	beliefSilent Disposition = "silent"
+	beliefLeft   Disposition = "left"
 	// beliefToldLeaving is PassLeaving by the word of the process beside the server, not
 	// by its entry.
-	beliefToldLeaving Pass = "told-leaving"
+	beliefToldLeaving Disposition = "told-leaving"
 )
 
 // Survey counts the servers of a service at the end of a search, for operators: how
@@ -52,17 +52,17 @@
 // Belief is what an ingress believes of one server at the end of a search.
 type Belief struct {
 	Server string
-	// Word says whether the server was asked, or else why not.
-	Word Pass
-	// Known is how long the ingress has known of the server, Told how long ago its
+	// Disposition says whether the server was asked, or else why not.
+	Disposition Disposition
+	// Known is how long the ingress has known of the server, Reported how long ago its
 	// process last told of it, and Asked how long ago the ingress last asked it for a slot.
 	// What never happened is negative.
-	Known, Told, Asked time.Duration
+	Known, Reported, Asked time.Duration
 }
 
 // String returns the belief in one word; its times are in seconds.
 func (b Belief) String() string {
-	return fmt.Sprintf("%s:%s/%.1f/%.1f/%.1f", b.Server, b.Word, b.Known.Seconds(), b.Told.Seconds(), b.Asked.Seconds())
+	return fmt.Sprintf("%s:%s/%.1f/%.1f/%.1f", b.Server, b.Disposition, b.Known.Seconds(), b.Reported.Seconds(), b.Asked.Seconds())
 }
 
 // String returns the counts as key=value pairs.
@@ -85,14 +85,14 @@
 
 // Survey counts the servers for a request that asked some and was sent to others. With
 // detail it also says what is believed of each.
-func (s *Service) Survey(now time.Time, want Want, asked, tried map[string]bool, detail bool) Survey {
+func (s *Service) Survey(now time.Time, want Request, asked, tried map[string]bool, detail bool) Survey {
 	survey := Survey{Known: len(s.servers)}
 	for _, server := range s.servers {
 		word := server.word(now, want, asked[server.Name], tried[server.Name])
 		survey.count(word)
 		if detail {
 			survey.Beliefs = append(survey.Beliefs, Belief{
-				Server: server.Name, Word: word, Known: since(now, server.knownAt), Told: since(now, server.toldAt), Asked: since(now, server.askedAt),
+				Server: server.Name, Disposition: word, Known: since(now, server.knownAt), Reported: since(now, server.toldAt), Asked: since(now, server.askedAt),
 			})
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // word says in one word what became of a server in a search.
-func (server *Server) word(now time.Time, want Want, asked, tried bool) Pass {
+func (server *Server) word(now time.Time, want Request, asked, tried bool) Disposition {
 	switch {
 	case tried:
 		return beliefTried
@@ -117,9 +117,9 @@
 		return beliefAsked
 	}
 	switch pass := server.passedOver(now, want); {
-	case pass == PassLeaving && !server.Leaving:
+	case pass == DispositionLeaving && !server.Leaving:
 		return beliefToldLeaving
-	case pass != PassNone:
+	case pass != DispositionNone:
 		return pass
 	}
 	if now.Before(server.avoid) {
@@ -129,21 +129,21 @@
 }
 
 // count counts a server by its word.
-func (s *Survey) count(word Pass) {
+func (s *Survey) count(word Disposition) {
 	switch word {
 	case beliefTried:
 		s.Tried++
 	case beliefAsked:
 		s.Asked++
-	case PassLeaving, beliefToldLeaving:
+	case DispositionLeaving, beliefToldLeaving:
 		s.Leaving++
-	case PassStopping:
+	case DispositionStopping:
 		s.Stopping++
-	case PassFull:
+	case DispositionFull:
 		s.Full++
-	case PassSick:
+	case DispositionSick:
 		s.Sick++
-	case PassSpent:
+	case DispositionSpent:
 		s.Spent++
 	case beliefSilent:
 		s.Silent++
--- a/choice/survey_test.go
+++ b/choice/survey_test.go
@@ -19,13 +19,13 @@
 	for _, name := range names {
 		s.Put(start, slatewind.ServerEntry{Name: name, Service: "s", DataCentre: "near", Slots: 4, Leaving: name == "leaving"})
 	}
-	s.Heard(start, "stopping", choice.Told{Stopping: true, BackIn: time.Second})
-	s.Heard(start, "full", choice.Told{Full: true, SlotIn: time.Second})
-	s.Heard(start, "sick", choice.Told{Sick: true, TrialIn: time.Second})
-	s.Heard(start, "spent", choice.Told{Spent: true})
-	s.Silent(start, "silent")
-	want := choice.Want{Ask: breaker.Ask{Careful: true}, Extra: true}
-	s.Heard(start, "told-leaving", choice.Told{Leaving: true})
+	s.Replied(start, "stopping", choice.Status{Stopping: true, BackIn: time.Second})
+	s.Replied(start, "full", choice.Status{Full: true, SlotIn: time.Second})
+	s.Replied(start, "sick", choice.Status{Unhealthy: true, TrialIn: time.Second})
+	s.Replied(start, "spent", choice.Status{Spent: true})
+	s.NoReply(start, "silent")
+	want := choice.Request{Constraints: breaker.Constraints{Careful: true}, Extra: true}
+	s.Replied(start, "told-leaving", choice.Status{Leaving: true})
 	s.Reserved(start.Add(5*time.Millisecond), "asked")
 	now, asked, tried := start.Add(10*time.Millisecond), map[string]bool{"asked": true}, map[string]bool{"tried": true}
 	got := s.Survey(now, want, asked, tried, false)
--- a/choice/view.go
+++ b/choice/view.go
@@ -22,8 +22,8 @@
 	views := make([]View, 0, len(s.servers))
 	for _, server := range s.servers {
 		views = append(views, View{
-			ServerEntry: *server.ServerEntry, Cost: s.cost(now, server, Want{Ask: breaker.Ask{Careful: true}}),
-			Load: server.told.Load, Sick: server.told.Sick, InFlight: server.inFlight,
+			ServerEntry: *server.ServerEntry, Cost: s.cost(now, server, Request{Constraints: breaker.Constraints{Careful: true}}),
+			Load: server.told.Load, Sick: server.told.Unhealthy, InFlight: server.inFlight,
 		})
 	}
 	sort.Slice(views, func(i, j int) bool { return views[i].Name < views[j].Name })
--- a/inbound/pause.go
+++ b/inbound/pause.go
@@ -37,7 +37,7 @@
 // times. in.mu must be held.
 func (in *Inbound) currentBreaker(now time.Time) *breaker.Breaker {
 	if pause := in.pauses.paused(now); pause > 0 {
-		in.breaker.Unwatched(now, pause)
+		in.breaker.ExcludePause(now, pause)
 	}
 	return in.breaker
 }
--- a/inbound/slots.go
+++ b/inbound/slots.go
@@ -25,7 +25,7 @@
 		InUse: uint32(in.slots.InUse()), Queued: uint32(in.slots.Queued()), Slots: uint32(in.slots.Slots()),
 		Health:         string(healthOf(current.State())),
 		Leaving:        in.leavingReason != "",
-		FailurePercent: uint32(math.Round(percent * (1 - current.Share()))), ShedPercent: uint32(math.Round(percent * current.Shed())),
+		FailurePercent: uint32(math.Round(percent * (1 - current.SuccessShare()))), ShedPercent: uint32(math.Round(percent * current.ShedShare())),
 		SuspicionTenths: uint32(min(current.Suspicion(now), maxReportedSuspicion) * tenths),
 		LastsMs:         in.remainingMs(now),
 	}
@@ -103,7 +103,7 @@
 		Begun:    r.GetBegun(),
 		// Requests that hang hold their slots until their deadlines, for up to ten seconds,
 		// although the server may have recovered by then.
-		Overcommit: !askOf(r).Guarded() && in.breaker.Stuck(in.slots.Slots()),
+		Overcommit: !askOf(r).RiskAverse() && in.breaker.Stuck(in.slots.Slots()),
 		Deadline:   now.Add(time.Duration(r.GetRemainingMs()) * time.Millisecond),
 		StartBy:    now.Add(time.Duration(r.GetPatienceMs()) * time.Millisecond),
 	}
@@ -135,9 +135,9 @@
 }
 
 // askOf returns the kind of request that a reservation is for, as the breaker needs it.
-func askOf(r *slatewindv1.Reservation) breaker.Ask {
-	return breaker.Ask{
-		Careful: r.GetCareful(), Scarce: r.GetScarce(), LastResort: r.GetLastResort(), Bears: float64(r.GetBearableTenths()) / tenths,
+func askOf(r *slatewindv1.Reservation) breaker.Constraints {
+	return breaker.Constraints{
+		Careful: r.GetCareful(), Scarce: r.GetScarce(), LastResort: r.GetLastResort(), MaxSuspicion: float64(r.GetBearableTenths()) / tenths,
 	}
 }
 
--- a/inbound/stop.go
+++ b/inbound/stop.go
@@ -46,7 +46,7 @@
 	if in.shutdown.Open(now) {
 		return true
 	}
-	well := in.currentBreaker(now).Allow(now, breaker.Ask{Careful: true, Bears: maxStoppingSuspicion})
+	well := in.currentBreaker(now).Allow(now, breaker.Constraints{Careful: true, MaxSuspicion: maxStoppingSuspicion})
 	return well && in.shutdown.GrantsSlot(now, expected, in.pendingWork())
 }
 
--- a/inbound/unread.go
+++ b/inbound/unread.go
@@ -28,7 +28,7 @@
 	}
 	in.lastUnreadCheck = now
 	current := in.currentBreaker(now)
-	for _, item := range current.Late(now) {
+	for _, item := range current.LateRequests(now) {
 		if unread := in.unread[item]; unread != nil {
 			current.SetUnread(now, item, unread())
 		}
@@ -37,7 +37,7 @@
 
 // allows reports whether the breaker admits a request. If it does not, unread answers are checked
 // for and the breaker is asked again. in.mu must be held.
-func (in *Inbound) allows(now time.Time, ask breaker.Ask) bool {
+func (in *Inbound) allows(now time.Time, ask breaker.Constraints) bool {
 	if in.currentBreaker(now).Allow(now, ask) {
 		return true
 	}
--- a/outbound/acquire.go
+++ b/outbound/acquire.go
@@ -15,7 +15,7 @@
 
 // slotDeadline returns the time until which an attempt that starts now may wait for a slot.
 func (rq *request) slotDeadline(now time.Time, retry bool) time.Time {
-	return now.Add(search.Patience(rq.remaining(now), rq.objective(), retry || rq.call != nil))
+	return now.Add(search.MaxSlotWait(rq.remaining(now), rq.objective(), retry || rq.call != nil))
 }
 
 // grantedSlot is a slot that was granted to a request.
@@ -30,7 +30,7 @@
 	// tried holds the names of the servers to skip.
 	tried map[string]bool
 	// ask states whether the attempt may be sent to unhealthy servers.
-	ask breaker.Ask
+	ask breaker.Constraints
 	// extra reports that a server has received the request before, or may still receive it.
 	extra bool
 	// retry reports that a server has received the request and gave no final response.
@@ -69,7 +69,7 @@
 	s := &slotSearch{
 		o: o, rq: rq, opts: opts, until: until, ctx: ctx, open: map[*pendingReservation]bool{}, refusals: map[inbound.Cause]int{},
 		search: search.New(search.Request{
-			Rank: rq.route.GetRank(), Ask: opts.ask, Extra: opts.extra, Tried: opts.tried, Until: until,
+			Rank: rq.route.GetRank(), Constraints: opts.ask, Extra: opts.extra, Tried: opts.tried, Until: until,
 			Scarce: rq.shard.deniedWithin(time.Now(), scarceAfterDenial),
 		}),
 	}
@@ -86,7 +86,7 @@
 			s.releaseSlot(slot)
 			s.lastReason, over = why, true
 		}
-		pause, again := s.search.Again(time.Now())
+		pause, again := s.search.NextRound(time.Now())
 		if over || !again || !s.pause(pause) {
 			return nil, s.refusal()
 		}
@@ -161,11 +161,11 @@
 // round asks the servers one after another, in ascending order of cost. over reports that further
 // waiting is useless.
 func (s *slotSearch) round(deadline <-chan time.Time) (slot *grantedSlot, over bool) {
-	s.opts.ask = s.search.Ask()
+	s.opts.ask = s.search.Constraints()
 	s.search.Begin(s.rq.shard.order(time.Now(), s.rq, s.opts))
 	s.events = make(chan event, eventBuffer)
 	s.reserveNext()
-	silent := time.NewTicker(search.SilentAfter)
+	silent := time.NewTicker(search.ReplyOverdueAfter)
 	defer silent.Stop()
 	widen := time.NewTimer(search.WidenAfter(s.rq.objective()))
 	defer widen.Stop()
@@ -175,7 +175,7 @@
 			if slot := s.handleReply(e); slot != nil {
 				return slot, false
 			}
-			if s.search.DeniedEnough() {
+			if s.search.TooManyDenials() {
 				return nil, true
 			}
 		case <-silent.C:
@@ -183,7 +183,7 @@
 				s.lastReason = reasonStopping
 				return nil, true
 			}
-			s.reserveNextIf(s.search.Silent(time.Now()))
+			s.reserveNextIf(s.search.ReplyOverdue(time.Now()))
 		case <-widen.C:
 			s.reserveNextIf(s.search.Widen())
 		case <-deadline:
@@ -210,7 +210,7 @@
 	if !s.open[e.reservation] {
 		return nil
 	}
-	s.search.Heard(e.reservation.question)
+	s.search.Replied(e.reservation.question)
 	switch {
 	case e.err != nil:
 		s.handleUnreachable(e)
@@ -238,8 +238,8 @@
 	now := time.Now()
 	for p := range s.open {
 		s.end(p)
-		if p.question.Unheard(now) {
-			s.rq.shard.update(func(c *choice.Service) { c.Silent(now, p.server().ID()) })
+		if p.question.Unresponsive(now) {
+			s.rq.shard.update(func(c *choice.Service) { c.NoReply(now, p.server().ID()) })
 		}
 	}
 }
--- a/outbound/dispatch.go
+++ b/outbound/dispatch.go
@@ -167,8 +167,8 @@
 // trialOptions returns whether the attempt being started may serve as a trial of an unhealthy
 // server: only the first attempt at a repeatable request may, and only if another attempt is left
 // after it. Scarce reports that an extra attempt was denied a short time ago.
-func (d *dispatch) trialOptions() breaker.Ask {
-	return breaker.Ask{
+func (d *dispatch) trialOptions() breaker.Constraints {
+	return breaker.Constraints{
 		Careful: !d.rq.repeatable() || d.tries > 1 || d.rq.attempts() < 2,
 		Scarce:  d.rq.shard.deniedWithin(time.Now(), trialPauseAfterDenial),
 	}
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -16,7 +16,7 @@
 
 // pendingReservation is a reservation without a final reply.
 type pendingReservation struct {
-	question *search.Question
+	question *search.Reservation
 	cancel   context.CancelFunc
 }
 
@@ -39,7 +39,7 @@
 		return
 	}
 	opts := s.opts
-	opts.ask = question.Ask
+	opts.ask = question.Constraints
 	ctx, cancel := context.WithCancel(s.ctx)
 	p := &pendingReservation{question: question, cancel: cancel}
 	s.open[p] = true
@@ -82,7 +82,7 @@
 	return &slatewindv1.Reservation{
 		Service: rq.service, Route: rq.route.GetName(), Workspace: rq.workspace.GetName(), Repeatable: rq.repeatable(), Rank: rq.rank(),
 		RemainingMs: uint32(max(rq.remaining(now), 0).Milliseconds()), PatienceMs: uint32(max(until.Sub(now), 0).Milliseconds()),
-		Careful: opts.ask.Careful, Scarce: opts.ask.Scarce, LastResort: opts.ask.LastResort, BearableTenths: uint32(min(opts.ask.Bears, maxBearable) * tenthsPerUnit),
+		Careful: opts.ask.Careful, Scarce: opts.ask.Scarce, LastResort: opts.ask.LastResort, BearableTenths: uint32(min(opts.ask.MaxSuspicion, maxBearable) * tenthsPerUnit),
 		Begun: rq.call != nil, Extra: opts.extra, Repeat: rq.call != nil && rq.call.Repeat,
 		ExpectedMs: uint32(rq.expected().Milliseconds()), First: !rq.announced.Swap(true),
 	}
@@ -109,18 +109,18 @@
 }
 
 // recordState records the state that the process beside a server reported.
-func (s *slotSearch) recordState(server string, state choice.Told) {
-	s.rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), server, state) })
+func (s *slotSearch) recordState(server string, state choice.Status) {
+	s.rq.shard.update(func(c *choice.Service) { c.Replied(time.Now(), server, state) })
 }
 
 // percent converts shares, which are transmitted in percent.
 const percent = 100.0
 
 // stateOf converts the server state in a reply.
-func stateOf(state *slatewindv1.SlotState) choice.Told {
-	return choice.Told{
+func stateOf(state *slatewindv1.SlotState) choice.Status {
+	return choice.Status{
 		Load: float64(state.GetInUse() + state.GetQueued()), Slots: float64(state.GetSlots()),
-		Sick: healthOf(state) != string(slatewind.ServerHealthy), Leaving: state.GetLeaving(),
+		Unhealthy: healthOf(state) != string(slatewind.ServerHealthy), Leaving: state.GetLeaving(),
 		SuccessShare: 1 - float64(state.GetFailurePercent())/percent, ShedShare: float64(state.GetShedPercent()) / percent,
 		Suspicion: float64(state.GetSuspicionTenths()) / tenthsPerUnit,
 	}
@@ -151,7 +151,7 @@
 }
 
 // refusalStateOf converts the server state in a refusal and adds what follows from its cause.
-func refusalStateOf(refusal *slatewindv1.Refusal) choice.Told {
+func refusalStateOf(refusal *slatewindv1.Refusal) choice.Status {
 	state := stateOf(refusal.GetState())
 	switch inbound.Cause(refusal.GetCause()) {
 	case inbound.CauseFull:
@@ -179,7 +179,7 @@
 		}
 		state := stateOf(r.GetState())
 		state.TrialIn = time.Duration(r.GetTrialInMs()) * time.Millisecond
-		state.TrialDue = state.Sick && state.TrialIn == 0
+		state.TrialDue = state.Unhealthy && state.TrialIn == 0
 		id := slatewind.ServerID(r.GetServer(), r.GetStartUnixMillis())
 		o.shard(server.service).update(func(c *choice.Service) { c.Reported(now.Add(-report.Age(r)), id, state) })
 	}
@@ -190,7 +190,7 @@
 	s.end(e.reservation)
 	name, id := e.reservation.server().Name, e.reservation.server().ID()
 	s.lastReason, s.lastServer = fmt.Sprintf("the process beside %s cannot be reached: %v", name, e.err), name
-	s.rq.shard.update(func(c *choice.Service) { c.Silent(time.Now(), id) })
+	s.rq.shard.update(func(c *choice.Service) { c.NoReply(time.Now(), id) })
 	s.reserveNextIf(s.search.Ended())
 }
 
@@ -241,5 +241,5 @@
 	case inbound.CauseMoved:
 		s.rq.shard.update(func(c *choice.Service) { c.Moved(time.Now(), id) })
 	}
-	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Sick: cause == inbound.CauseSick, Denied: cause == inbound.CauseBudget}))
+	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Unhealthy: cause == inbound.CauseSick, Denied: cause == inbound.CauseBudget}))
 }
--- a/outbound/run.go
+++ b/outbound/run.go
@@ -106,7 +106,7 @@
 	if state == nil {
 		return
 	}
-	rq.shard.update(func(c *choice.Service) { c.Heard(time.Now(), slot.server.ID(), stateOf(state)) })
+	rq.shard.update(func(c *choice.Service) { c.Replied(time.Now(), slot.server.ID(), stateOf(state)) })
 }
 
 // errIncompleteAnswer means that a response ended early, or that its length or checksum does not
--- a/outbound/servers.go
+++ b/outbound/servers.go
@@ -72,7 +72,7 @@
 func (sh *shard) excluded(now time.Time, rq *request, opts attemptOptions, server string) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.choice.PassedOver(now, server, sh.want(rq, opts))
+	return sh.choice.Skipped(now, server, sh.want(rq, opts))
 }
 
 // detailInterval is the minimum time between two surveys of a service that list the assumed state of
@@ -91,10 +91,10 @@
 }
 
 // want returns the properties of a request that affect the selection. The caller must hold sh.mu.
-func (sh *shard) want(rq *request, opts attemptOptions) choice.Want {
+func (sh *shard) want(rq *request, opts attemptOptions) choice.Request {
 	// Until the route has averages, only the size of the request itself is known.
 	bytes := max(sh.means[rq.route.GetName()].bytes, float64(len(rq.body)))
-	return choice.Want{Ask: opts.ask, Extra: opts.extra, Bytes: bytes}
+	return choice.Request{Constraints: opts.ask, Extra: opts.extra, Bytes: bytes}
 }
 
 // shard returns the state of a service, and creates it if it does not exist.
--- a/overload/ablation_test.go
+++ b/overload/ablation_test.go
@@ -37,7 +37,7 @@
 		{File: breakerFile, From: "b.Suspicion(now) >= hangSuspicion", To: "false"},
 	},
 	"silence borne": {
-		{File: breakerFile, From: "return !ask.Guarded() || b.Suspicion(now) <= ask.bears()", To: "return true"},
+		{File: breakerFile, From: "return !ask.RiskAverse() || b.Suspicion(now) <= ask.bears()", To: "return true"},
 	},
 	"trials of scarce": {
 		{File: breakerFile, From: "return b.trials == 0 && now.Sub(b.lastTrial) >= b.trialAfter+TrialOverdue", To: "return false"},
@@ -50,7 +50,7 @@
 		{File: breakerFile, From: "maxTrials = 3", To: "maxTrials = 1"},
 	},
 	"last resort": {
-		{File: searchFile, From: "s.request.Ask.LastResort = true", To: "s.request.Ask.LastResort = false"},
+		{File: searchFile, From: "s.request.Constraints.LastResort = true", To: "s.request.Constraints.LastResort = false"},
 	},
 	"retries": {
 		{File: ingressFile, From: "const attempts = 2", To: "const attempts = 1"},
@@ -66,7 +66,7 @@
 		{File: costFile, From: "sickCost = 3.0", To: "sickCost = 0.0"},
 	},
 	"sick passed over": {
-		{File: costFile, From: "case server.told.Sick && !server.trialDue(now, want):", To: "case false:"},
+		{File: costFile, From: "case server.told.Unhealthy && !server.trialDue(now, want):", To: "case false:"},
 	},
 	"full passed over": {
 		{File: costFile, From: "case server.told.Full && age < server.told.pause():", To: "case false:"},
--- a/overload/ingress_test.go
+++ b/overload/ingress_test.go
@@ -67,7 +67,7 @@
 // reservation asks one server for a slot.
 type reservation struct {
 	request  *request
-	question *search.Question
+	question *search.Reservation
 	server   *server
 	item     admission.Item
 	granted  bool
@@ -76,7 +76,7 @@
 }
 
 // ask says what the reservation may do to a server that looks sick.
-func (r *reservation) ask() breaker.Ask { return r.question.Ask }
+func (r *reservation) ask() breaker.Constraints { return r.question.Constraints }
 
 // until is when the reservation is not waited for any longer.
 func (r *reservation) until() time.Time { return r.request.look.Until() }
@@ -96,15 +96,15 @@
 }
 
 // want is what the request is like now.
-func (rq *request) want() choice.Want {
-	return choice.Want{Ask: rq.look.Ask(), Extra: rq.arrivals > 0}
+func (rq *request) want() choice.Request {
+	return choice.Request{Constraints: rq.look.Constraints(), Extra: rq.arrivals > 0}
 }
 
 // search begins to look for a slot until a time.
 func (rq *request) search(until time.Time) {
 	w := rq.from.w
 	rq.look = search.New(search.Request{
-		Ask: breaker.Ask{Careful: !rq.repeatable || rq.arrivals > 0}, Extra: rq.arrivals > 0, Tried: rq.tried, Until: until,
+		Constraints: breaker.Constraints{Careful: !rq.repeatable || rq.arrivals > 0}, Extra: rq.arrivals > 0, Tried: rq.tried, Until: until,
 		Scarce: w.now.Sub(rq.from.denied) < scarceMemory,
 	})
 	rq.open, rq.slot = map[*reservation]bool{}, nil
@@ -147,7 +147,7 @@
 // next asks the next server, if there is one.
 func (rq *request) next() {
 	w, look := rq.from.w, rq.look
-	question, left := look.Next(w.now, func(server choice.Candidate) bool { return rq.from.service.PassedOver(w.now, server.ID(), rq.want()) })
+	question, left := look.Next(w.now, func(server choice.Candidate) bool { return rq.from.service.Skipped(w.now, server.ID(), rq.want()) })
 	if !left {
 		return
 	}
@@ -156,14 +156,14 @@
 	w.reservations++
 	rq.from.service.Reserved(w.now, question.Server.ID())
 	r.toServer(func() { r.server.reserve(r) })
-	w.after(search.SilentAfter, func() { rq.in(look, func() { rq.nextIf(look.Silent(w.now)) }) })
+	w.after(search.ReplyOverdueAfter, func() { rq.in(look, func() { rq.nextIf(look.ReplyOverdue(w.now)) }) })
 }
 
 // endRound refuses the request, or asks all once more after a pause.
 func (rq *request) endRound() {
 	w, look := rq.from.w, rq.look
-	pause, again := look.Again(w.now)
-	if !again || look.DeniedEnough() {
+	pause, again := look.NextRound(w.now)
+	if !again || look.TooManyDenials() {
 		rq.refused()
 		return
 	}
@@ -211,12 +211,12 @@
 }
 
 // reply has something come to the request's ingress, with the server's state.
-func (r *reservation) reply(told choice.Told, do func()) {
+func (r *reservation) reply(told choice.Status, do func()) {
 	in := r.request.from
 	r.toIngress(func() {
-		in.service.Heard(in.w.now, r.server.entry.ID(), told)
+		in.service.Replied(in.w.now, r.server.entry.ID(), told)
 		if r.request.open[r] {
-			r.request.look.Heard(r.question)
+			r.request.look.Replied(r.question)
 			do()
 		}
 	})
@@ -232,8 +232,8 @@
 		if cause == refusedBudget {
 			rq.from.denied = rq.from.w.now
 		}
-		more := rq.look.Refused(r.question, search.Refusal{Sick: cause == refusedSick, Denied: cause == refusedBudget})
-		if rq.look.DeniedEnough() {
+		more := rq.look.Refused(r.question, search.Refusal{Unhealthy: cause == refusedSick, Denied: cause == refusedBudget})
+		if rq.look.TooManyDenials() {
 			rq.refused()
 			return
 		}
@@ -254,7 +254,7 @@
 	r.granted = true
 	in := rq.from
 	r.toIngress(func() {
-		in.service.Heard(in.w.now, r.server.entry.ID(), r.server.told())
+		in.service.Replied(in.w.now, r.server.entry.ID(), r.server.told())
 		if rq.done || rq.slot != nil || !rq.open[r] {
 			r.server.leave(r)
 			return
@@ -266,9 +266,9 @@
 }
 
 // answered takes what came of the request at a server.
-func (rq *request) answered(r *reservation, result breaker.Result, told choice.Told) {
+func (rq *request) answered(r *reservation, result breaker.Result, told choice.Status) {
 	w, name := rq.from.w, r.server.entry.ID()
-	rq.from.service.Heard(w.now, name, told)
+	rq.from.service.Replied(w.now, name, told)
 	rq.arrivals++
 	rq.tried[name] = true
 	if result == breaker.ResultOK {
@@ -284,7 +284,7 @@
 	}
 	proof := result == breaker.ResultShed
 	if (rq.repeatable || proof) && rq.arrivals < attempts && w.now.Before(rq.deadline) {
-		rq.search(w.now.Add(search.Patience(rq.deadline.Sub(w.now), w.Objective, true)))
+		rq.search(w.now.Add(search.MaxSlotWait(rq.deadline.Sub(w.now), w.Objective, true)))
 		return
 	}
 	rq.done = true
--- a/overload/model_test.go
+++ b/overload/model_test.go
@@ -258,9 +258,9 @@
 }
 
 // told is what the process beside a server says of it.
-func (s *server) told() choice.Told {
-	return choice.Told{
-		Load: float64(s.slots.InUse() + s.slots.Queued()), Slots: float64(s.slots.Slots()), Sick: s.breaker.State() != breaker.StateClosed,
-		SuccessShare: s.breaker.Share(), ShedShare: s.breaker.Shed(), Suspicion: s.breaker.Suspicion(s.w.now),
+func (s *server) told() choice.Status {
+	return choice.Status{
+		Load: float64(s.slots.InUse() + s.slots.Queued()), Slots: float64(s.slots.Slots()), Unhealthy: s.breaker.State() != breaker.StateClosed,
+		SuccessShare: s.breaker.SuccessShare(), ShedShare: s.breaker.ShedShare(), Suspicion: s.breaker.Suspicion(s.w.now),
 	}
 }
--- a/overload/server_test.go
+++ b/overload/server_test.go
@@ -66,7 +66,7 @@
 
 // lookForAnswers tells the judgement which requests are late since their answers are not read yet.
 func (s *server) lookForAnswers() {
-	for _, id := range s.breaker.Late(s.w.now) {
+	for _, id := range s.breaker.LateRequests(s.w.now) {
 		s.breaker.SetUnread(s.w.now, id, s.unread[id])
 	}
 }
@@ -92,7 +92,7 @@
 	if s.w.over() {
 		return
 	}
-	if told := s.told(); told.Sick {
+	if told := s.told(); told.Unhealthy {
 		told.TrialIn = s.breaker.TrialIn(s.w.now)
 		told.TrialDue = told.TrialIn == 0
 		at := s.w.now
@@ -229,7 +229,7 @@
 }
 
 // toldWith is the state that comes with a refusal.
-func (s *server) toldWith(cause refusal, after time.Duration) choice.Told {
+func (s *server) toldWith(cause refusal, after time.Duration) choice.Status {
 	told := s.told()
 	switch cause {
 	case refusedSick:
--- a/search/bench_test.go
+++ b/search/bench_test.go
@@ -29,13 +29,13 @@
 				}
 				service.Put(now, entry)
 				if i%2 == 0 {
-					service.Heard(now, entry.ID(), choice.Told{Load: float64(i % 5), Slots: 4, SuccessShare: 1})
+					service.Replied(now, entry.ID(), choice.Status{Load: float64(i % 5), Slots: 4, SuccessShare: 1})
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				s := search.New(search.Request{Until: now.Add(time.Second)})
-				s.Begin(service.Order(now, choice.Want{Ask: breaker.Ask{}}))
+				s.Begin(service.Order(now, choice.Request{Constraints: breaker.Constraints{}}))
 				_, ok := s.Next(now, func(choice.Candidate) bool { return false })
 				assert.Assert(b, ok)
 			}
--- a/search/patience.go
+++ b/search/patience.go
@@ -12,11 +12,11 @@
 	againShare = 0.6
 )
 
-// Patience returns how long an attempt may wait for a slot whose request has some time
+// MaxSlotWait returns how long an attempt may wait for a slot whose request has some time
 // remaining. Each attempt has its own: the search for the first may have taken long. An
 // eager one, which is made again after a server has seen the request or is a call, waits
 // longer: a refusal would prove nothing any more, or waste the work above it.
-func Patience(remaining, objective time.Duration, eager bool) time.Duration {
+func MaxSlotWait(remaining, objective time.Duration, eager bool) time.Duration {
 	if eager {
 		return time.Duration(againShare * float64(remaining))
 	}
--- a/search/search.go
+++ b/search/search.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// SilentAfter is how long a reservation may stay without any reply before the next
+	// ReplyOverdueAfter is how long a reservation may stay without any reply before the next
 	// server is asked as well. A reply takes a round trip, some 3 ms between data centres,
 	// and a busy process some ten more.
-	SilentAfter = 40 * time.Millisecond
+	ReplyOverdueAfter = 40 * time.Millisecond
 	// avoidAfter is how long a process must have been silent to be avoided.
 	avoidAfter = 120 * time.Millisecond
 	// maxQueued is at how many servers a request waits at once. It takes the first slot,
@@ -63,8 +63,8 @@
 type Request struct {
 	// Rank is the request's, lower goes first.
 	Rank uint32
-	// Ask says what it may do to servers that look sick.
-	Ask breaker.Ask
+	// Constraints says what it may do to servers that look sick.
+	Constraints breaker.Constraints
 	// Extra says that a server has seen the request before, or may see it; Scarce that
 	// such an attempt was denied a short time ago.
 	Extra, Scarce bool
@@ -74,11 +74,11 @@
 	Until time.Time
 }
 
-// Question is a reservation that is to be made.
-type Question struct {
+// Reservation is a reservation that is to be made.
+type Reservation struct {
 	Server choice.Candidate
-	// Ask says what it may do to the server if that looks sick.
-	Ask breaker.Ask
+	// Constraints says what it may do to the server if that looks sick.
+	Constraints breaker.Constraints
 	// since is when it was asked; heard says that some reply came.
 	since time.Time
 	heard bool
@@ -86,8 +86,8 @@
 
 // Refusal is what a refused reservation says to a search.
 type Refusal struct {
-	// Sick says that the server looks sick.
-	Sick bool
+	// Unhealthy says that the server looks sick.
+	Unhealthy bool
 	// Denied says that the bound on extra attempts allows none there.
 	Denied bool
 }
@@ -102,7 +102,7 @@
 	// queued is at how many servers the request waits for a slot.
 	queued int
 	// newest is the reservation that was made last.
-	newest *Question
+	newest *Reservation
 	// mayQueue is at how many servers the request may wait now, and waitCost the cost of
 	// the dearest one at which it waits.
 	mayQueue int
@@ -118,8 +118,8 @@
 	return &Search{request: request, queue: choice.NewQueue(), asked: map[string]bool{}, pause: firstPause}
 }
 
-// Ask returns what the request may do to servers that look sick, in this round.
-func (s *Search) Ask() breaker.Ask { return s.request.Ask }
+// Constraints returns what the request may do to servers that look sick, in this round.
+func (s *Search) Constraints() breaker.Constraints { return s.request.Constraints }
 
 // Until returns when the request gives up waiting.
 func (s *Search) Until() time.Time { return s.request.Until }
@@ -140,7 +140,7 @@
 
 // Next returns the next question, but for servers that are passed over since they were
 // heard of after the round began; ok says that there is one.
-func (s *Search) Next(now time.Time, passedOver func(choice.Candidate) bool) (q *Question, ok bool) {
+func (s *Search) Next(now time.Time, passedOver func(choice.Candidate) bool) (q *Reservation, ok bool) {
 	for {
 		server, left := s.queue.Take()
 		if !left {
@@ -149,9 +149,9 @@
 		if passedOver(server) {
 			continue
 		}
-		ask := s.request.Ask
-		ask.Bears = s.bears(server)
-		q = &Question{Server: server, Ask: ask, since: now}
+		ask := s.request.Constraints
+		ask.MaxSuspicion = s.bears(server)
+		q = &Reservation{Server: server, Constraints: ask, since: now}
 		s.asked[server.Name], s.newest = true, q
 		return q, true
 	}
@@ -167,12 +167,12 @@
 	return min(leastBears+bearsPerCost*max(next.Cost-server.Cost, 0), mostBears)
 }
 
-// Heard notes that some reply to a question came.
-func (s *Search) Heard(q *Question) { q.heard = true }
+// Replied notes that some reply to a question came.
+func (s *Search) Replied(q *Reservation) { q.heard = true }
 
 // Queued notes that the request waits at a server; more says that another is to be asked.
-func (s *Search) Queued(q *Question) (more bool) {
-	s.queue.Heard(q.Server.DataCentre, false)
+func (s *Search) Queued(q *Reservation) (more bool) {
+	s.queue.Replied(q.Server.DataCentre, false)
 	s.queued++
 	s.waitCost = max(s.waitCost, q.Server.Cost)
 	return s.queued < s.mayQueue && s.worthTheCost()
@@ -186,8 +186,8 @@
 }
 
 // Refused notes a refusal; more says that another server is to be asked.
-func (s *Search) Refused(q *Question, refusal Refusal) (more bool) {
-	s.queue.Heard(q.Server.DataCentre, refusal.Sick)
+func (s *Search) Refused(q *Reservation, refusal Refusal) (more bool) {
+	s.queue.Replied(q.Server.DataCentre, refusal.Unhealthy)
 	if refusal.Denied {
 		s.denials++
 	}
@@ -196,22 +196,22 @@
 
 // Ended notes that a reservation is over without a refusal, since its process was not
 // reached or its server leaves; more says that another server is to be asked.
-func (s *Search) Ended() (more bool) { return !s.DeniedEnough() }
+func (s *Search) Ended() (more bool) { return !s.TooManyDenials() }
 
 // denied reports whether the search is for an extra attempt that no server may get now.
 // Waiting for the bound to allow more would only hold its caller.
 func (s *Search) denied() bool { return s.request.Extra && s.denials > 0 }
 
-// DeniedEnough reports whether so many servers may get no extra attempt that asking the
+// TooManyDenials reports whether so many servers may get no extra attempt that asking the
 // others is not worth it.
-func (s *Search) DeniedEnough() bool {
+func (s *Search) TooManyDenials() bool {
 	return s.denied() && s.queued == 0 && s.denials >= retry.MaxDenials(s.request.Rank, s.request.Scarce)
 }
 
-// Silent reports whether the server that was asked last has been silent for so long that
+// ReplyOverdue reports whether the server that was asked last has been silent for so long that
 // another is to be asked.
-func (s *Search) Silent(now time.Time) (more bool) {
-	return s.newest != nil && !s.newest.heard && now.Sub(s.newest.since) >= SilentAfter
+func (s *Search) ReplyOverdue(now time.Time) (more bool) {
+	return s.newest != nil && !s.newest.heard && now.Sub(s.newest.since) >= ReplyOverdueAfter
 }
 
 // WidenAfter returns after how long a wait for a slot further servers are asked, by the
@@ -227,17 +227,17 @@
 	return s.queued > 0
 }
 
-// Again reports whether another round follows, after a pause, on one that found no slot. In
+// NextRound reports whether another round follows, after a pause, on one that found no slot. In
 // it the request has no better choice than a sick server.
-func (s *Search) Again(now time.Time) (pause time.Duration, again bool) {
-	s.request.Ask.LastResort = true
+func (s *Search) NextRound(now time.Time) (pause time.Duration, again bool) {
+	s.request.Constraints.LastResort = true
 	pause = s.pause
 	s.pause = min(2*s.pause, maxPause)
 	return pause, !s.denied() && now.Add(pause).Before(s.request.Until)
 }
 
-// Unheard reports whether the process asked has been silent for so long that it is to be
+// Unresponsive reports whether the process asked has been silent for so long that it is to be
 // avoided for a while.
-func (q *Question) Unheard(now time.Time) bool {
+func (q *Reservation) Unresponsive(now time.Time) bool {
 	return !q.heard && now.Sub(q.since) >= avoidAfter
 }
--- a/search/search_test.go
+++ b/search/search_test.go
@@ -38,7 +38,7 @@
 func none(choice.Candidate) bool { return false }
 
 // ask returns the next question, which must be there.
-func ask(t *testing.T, s *search.Search) *search.Question {
+func ask(t *testing.T, s *search.Search) *search.Reservation {
 	t.Helper()
 	q, ok := s.Next(start, none)
 	assert.Assert(t, ok, "nobody is left to ask")
@@ -97,8 +97,8 @@
 		heard            bool
 		more, unreplying bool
 	}{
-		"a moment ago": {search.SilentAfter - 1, false, false, false},
-		"silent":       {search.SilentAfter, false, true, false},
+		"a moment ago": {search.ReplyOverdueAfter - 1, false, false, false},
+		"silent":       {search.ReplyOverdueAfter, false, true, false},
 		"long silent":  {120 * time.Millisecond, false, true, true},
 		"it waits":     {120 * time.Millisecond, true, false, false},
 	}
@@ -107,10 +107,10 @@
 			s := begin(search.Request{}, 0.1, 0.2)
 			q := ask(t, s)
 			if test.heard {
-				s.Heard(q)
+				s.Replied(q)
 			}
-			assert.Equal(t, s.Silent(start.Add(test.age)), test.more)
-			assert.Equal(t, q.Unheard(start.Add(test.age)), test.unreplying)
+			assert.Equal(t, s.ReplyOverdue(start.Add(test.age)), test.more)
+			assert.Equal(t, q.Unresponsive(start.Add(test.age)), test.unreplying)
 		})
 	}
 }
@@ -131,11 +131,11 @@
 		t.Run(name, func(t *testing.T) {
 			s := begin(test.request, make([]float64, 40)...)
 			for i := range test.most {
-				assert.Assert(t, !s.DeniedEnough(), "after %d", i)
+				assert.Assert(t, !s.TooManyDenials(), "after %d", i)
 				s.Refused(ask(t, s), search.Refusal{Denied: true})
 			}
-			assert.Equal(t, s.DeniedEnough(), !test.again)
-			_, again := s.Again(start)
+			assert.Equal(t, s.TooManyDenials(), !test.again)
+			_, again := s.NextRound(start)
 			assert.Equal(t, again, test.again)
 		})
 	}
@@ -145,14 +145,14 @@
 // when the request gives up before.
 func TestAgain(t *testing.T) {
 	s := begin(search.Request{}, 0.1)
-	assert.Equal(t, s.Ask(), breaker.Ask{})
+	assert.Equal(t, s.Constraints(), breaker.Constraints{})
 	for _, want := range []time.Duration{20, 40, 80, 80} {
-		pause, again := s.Again(start)
+		pause, again := s.NextRound(start)
 		assert.Equal(t, pause, want*time.Millisecond)
 		assert.Assert(t, again)
 	}
-	assert.Assert(t, s.Ask().LastResort)
-	_, again := s.Again(start.Add(920 * time.Millisecond))
+	assert.Assert(t, s.Constraints().LastResort)
+	_, again := s.NextRound(start.Add(920 * time.Millisecond))
 	assert.Assert(t, !again)
 }
 
@@ -169,7 +169,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			bears := ask(t, begin(search.Request{}, test.costs...)).Ask.Bears
+			bears := ask(t, begin(search.Request{}, test.costs...)).Constraints.MaxSuspicion
 			assert.Assert(t, bears >= test.least && bears <= test.most, "%v", bears)
 		})
 	}
@@ -189,7 +189,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, search.Patience(test.remaining, test.objective, test.eager), test.want)
+			assert.Equal(t, search.MaxSlotWait(test.remaining, test.objective, test.eager), test.want)
 		})
 	}
 }
