--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -1,188 +1,185 @@
-// Package breaker judges one backend server from beside it.
+// Package breaker implements the circuit breaker that the sidecar of a backend server keeps
+// for it.
 //
-// The process beside a server sees every request that the server gets, so it
-// knows after one or two failures what an observer elsewhere learns from many.
-// Each failure adds suspicion by how unlikely a healthy server is to show it: a
-// reset counts in full, an error answer by half, since servers answer a few
-// requests with an error when nothing is wrong. At the threshold the breaker
-// opens and requests are refused before they reach the server, which proves
-// that they did not run. Repeatable requests are then let through as trials: one
-// after a pause, and a few at once after a first success. After enough successes
-// in a row the breaker closes. Until then, requests that must not repeat come
-// only where they have no healthy server and this one still answers most.
+// The sidecar sees every request that the server gets, so it detects a failing server after
+// one or two failures, where an observer elsewhere needs many. Each failure raises a score by
+// how unlikely a healthy server is to show it: a connection reset counts in full, an error
+// answer by half, since healthy servers answer a few requests with an error too. At the
+// threshold the breaker opens, and requests are refused before they reach the server, which
+// proves that they did not run. Repeatable requests are then admitted as trials: one after a
+// pause, and a few at once after a first success. After enough consecutive successes the
+// breaker closes. Until then, requests that must not be repeated are admitted only if they
+// have no healthy server and this one still answers most of its requests.
 //
-// A server that hangs shows nothing at all, so that silence is judged too: each
-// request that runs far too long, and all running ones together (Suspicion). Time
-// in which the server waits for calls of its own does not count.
+// A server that hangs returns no results at all. It is detected by the time that its requests
+// have been running: each request that runs far longer than the mean of its route, and all
+// running requests together (Suspicion). Time in which the server waits for nested calls does
+// not count.
 //
-// Health probes are not used: servers that fail only part of their requests
-// answer them well.
+// Health probes are not used, since servers that fail only part of their requests answer
+// probes well.
 package breaker
 
 import "time"
 
-// State is the breaker's judgement.
+// State is the state of a breaker.
 type State string
 
 // States of a breaker.
 const (
-	// StateClosed lets everything through.
+	// StateClosed admits all requests.
 	StateClosed State = "closed"
-	// StateOpen lets single repeatable requests through, now and then.
+	// StateOpen admits one repeatable request at a time, as a trial after a pause.
 	StateOpen State = "open"
-	// StateHalfOpen lets up to maxTrials repeatable requests through at once.
+	// StateHalfOpen admits up to maxTrials repeatable requests at once, as trials.
 	StateHalfOpen State = "half-open"
 )
 
-// Result is what one request showed of the server.
+// Result is the result of one request, as evidence about the server.
 type Result string
 
 // Results of requests.
 const (
-	// ResultOK is a whole answer in good time.
+	// ResultOK is a complete answer that did not take too long.
 	ResultOK Result = "ok"
-	// ResultBroken is a reset, an early end or bytes that are no answer.
+	// ResultBroken is a connection reset, a truncated answer or bytes that are no answer.
 	ResultBroken Result = "broken"
-	// ResultError is the server's own error answer.
+	// ResultError is an error answer by the server itself.
 	ResultError Result = "error"
-	// ResultShed is a rejection by the server although it had a free slot. It
-	// proves that nothing ran, so it never opens the breaker; others are
-	// preferred to the server while it sheds.
+	// ResultShed is a rejection by the server although it had a free slot. It proves
+	// that the request did not run, so it never opens the breaker; while the server
+	// rejects requests, other servers are preferred.
 	ResultShed Result = "shed"
-	// ResultNone tells nothing: the caller left, or nothing was sent.
+	// ResultNone is no evidence: the caller disconnected, or nothing was sent.
 	ResultNone Result = "none"
 )
 
-// Weights of evidence, as shares of the threshold. A healthy server resets
-// nothing and answers about one request in eighty with an error of its own, as
-// the servers of this project's users do: two in a row are a sign of more.
+// Weights of results, as shares of openThreshold. A healthy server resets no connection and,
+// as the users' servers do, answers about one request in eighty with an error of its own: two
+// consecutive errors indicate a fault.
 const (
-	threshold    = 1.0
-	brokenWeight = 1.0
-	errorWeight  = 0.5
-	slowWeight   = 0.5
-	// successWeight is taken off for each success. At 0.2 a server that answers
-	// every third request with an error opens the breaker, one that does so with
-	// every tenth not.
+	openThreshold = 1.0
+	brokenWeight  = 1.0
+	errorWeight   = 0.5
+	slowWeight    = 0.5
+	// successWeight is subtracted for each success. At 0.2 a server that answers every third
+	// request with an error opens the breaker, one that does so with every tenth does not.
 	successWeight = 0.2
 )
 
 const (
-	// firstTrialAfter is the pause before the first trial; it grows by
-	// trialGrowth with each failed one up to maxTrialAfter: each failed trial
-	// costs its request an attempt, and sick spells last seconds.
-	firstTrialAfter = 400 * time.Millisecond
-	trialGrowth     = 1.5
-	maxTrialAfter   = time.Second
-	// TrialOverdue is how long after a trial was due a scarce request may be one.
+	// firstTrialPause is the pause before the first trial. Each failed trial multiplies it by
+	// trialPauseGrowth, up to maxTrialPause: a failed trial costs its request an attempt, and
+	// faults typically last for seconds.
+	firstTrialPause  = 400 * time.Millisecond
+	trialPauseGrowth = 1.5
+	maxTrialPause    = time.Second
+	// TrialOverdue is how long after a trial became due a Scarce request may be the trial.
 	TrialOverdue = 300 * time.Millisecond
 	// maxTrials is how many trials may run at once after a first success.
 	maxTrials = 3
-	// successesNeeded in a row close the breaker; each opening within
-	// relapseTime of the last close asks for relapseSuccesses more, up to
-	// maxSuccesses.
-	successesNeeded  = 2
-	relapseSuccesses = 2
-	maxSuccesses     = 8
-	relapseTime      = 5 * time.Second
+	// minSuccesses consecutive successes close the breaker. Each opening within reopenWindow
+	// of the last close requires reopenSuccesses more, up to maxSuccesses.
+	minSuccesses    = 2
+	reopenSuccesses = 2
+	maxSuccesses    = 8
+	reopenWindow    = 5 * time.Second
 )
 
-// shareWeight is the weight of the newest outcome in the shares of successes and
-// of rejections.
+// shareWeight is the weight of the newest result in the moving averages of successes and of
+// rejections.
 const shareWeight = 0.2
 
-// MinUsefulShare is the share of successes, from 0 to 1, from which a sick server
-// is better than none.
+// MinUsefulShare is the share of successes, from 0 to 1, from which an unhealthy server is
+// better than none.
 const MinUsefulShare = 0.5
 
-// Breaker is the judgement of one server. It is not safe for use by several
-// goroutines; its host guards it.
+// Breaker is the circuit breaker of one server. It is not safe for concurrent use; its owner
+// guards it by a lock.
 type Breaker struct {
 	state State
-	// score is the suspicion, as a share of the threshold.
+	// score is the sum of the weights of results, as a share of openThreshold.
 	score float64
-	// successes counts the trials in a row that went well, needed is how many
-	// close the breaker.
-	successes int
-	needed    int
-	// changed is when the breaker last opened or closed.
-	changed time.Time
+	// successes counts consecutive successful trials; requiredSuccesses of them close the
+	// breaker.
+	successes         int
+	requiredSuccesses int
+	// lastChange is when the breaker last opened or closed.
+	lastChange time.Time
 	// trialAfter is the pause between lastTrial and the next trial.
 	trialAfter time.Duration
 	lastTrial  time.Time
-	// running holds the server's requests by id, means the routes' by name.
-	running map[string]*running
-	means   map[string]mean
-	// share is the share of successes, shed that of rejections, both of the
-	// newest requests.
-	share float64
-	shed  float64
+	// running holds the running requests of the server by id, routeMeans the means by route.
+	running    map[string]*request
+	routeMeans map[string]mean
+	// successShare and shedShare are the moving averages of successes and of rejections.
+	successShare float64
+	shedShare    float64
 }
 
 // New returns a closed breaker.
 func New() *Breaker {
-	return &Breaker{state: StateClosed, needed: successesNeeded, share: 1, running: map[string]*running{}, means: map[string]mean{}}
+	return &Breaker{state: StateClosed, requiredSuccesses: minSuccesses, successShare: 1, running: map[string]*request{}, routeMeans: map[string]mean{}}
 }
 
-// State returns the judgement.
+// State returns the current state.
 func (b *Breaker) State() State { return b.state }
 
-// Score returns the suspicion; at 1 the breaker opens.
+// Score returns the score; at 1 the breaker opens.
 func (b *Breaker) Score() float64 { return b.score }
 
-// Constraints says what kind of request wants to go to the server.
+// Constraints restrict the servers to which a request may go, by their health.
 type Constraints struct {
-	// Careful requests must not be trials: they cannot be repeated, or no further
-	// attempt is left to them.
+	// Careful requests must not be trials: they cannot be repeated, or they have no further
+	// attempt left.
 	Careful bool
-	// Scarce requests may be repeated, but extra attempts were denied a moment ago: they are a
-	// trial only where one is overdue.
+	// Scarce requests may be repeated, but extra attempts were denied shortly before: such a
+	// request is a trial only if one is overdue.
 	Scarce bool
 	// LastResort requests have no healthy server to go to.
 	LastResort bool
-	// MaxSuspicion is how much suspicion a careful request bears: a hanging server would
-	// take it for good.
+	// MaxSuspicion is the highest Suspicion of a server to which a Careful or Scarce request
+	// goes: a server that hangs would hold the request until its deadline.
 	MaxSuspicion float64
 }
 
-// RiskAverse reports whether the request keeps off servers that look sick.
-func (a Constraints) RiskAverse() bool { return a.Careful || a.Scarce }
+// RiskAverse reports whether the request avoids servers that look unhealthy.
+func (c Constraints) RiskAverse() bool { return c.Careful || c.Scarce }
 
-// bears returns how much suspicion the request bears. Also as a last resort it
-// keeps off a server that nearly surely hangs: it would be lost, and hold a slot
-// until its time is over.
-func (a Constraints) bears() float64 {
-	if a.LastResort {
-		return lastResortBears
+// maxSuspicion returns the highest suspicion that the request accepts. Even as a last resort
+// it avoids a server that almost certainly hangs: the request would be lost, and would hold a
+// slot until its deadline.
+func (c Constraints) maxSuspicion() float64 {
+	if c.LastResort {
+		return maxLastResortSuspicion
 	}
-	return min(a.MaxSuspicion, lastResortBears)
+	return min(c.MaxSuspicion, maxLastResortSuspicion)
 }
 
-// Allow reports whether a request may go to the server now.
-func (b *Breaker) Allow(now time.Time, ask Constraints) bool {
+// Allow reports whether a request may be sent to the server now.
+func (b *Breaker) Allow(now time.Time, c Constraints) bool {
 	switch {
 	case b.state == StateClosed:
-		return !ask.RiskAverse() || b.Suspicion(now) <= ask.bears()
-	case ask.LastResort && b.share >= MinUsefulShare:
+		return !c.RiskAverse() || b.Suspicion(now) <= c.maxSuspicion()
+	case c.LastResort && b.successShare >= MinUsefulShare:
 		return true
-	case ask.Careful:
+	case c.Careful:
 		return false
-	case ask.Scarce:
+	case c.Scarce:
 		return b.trials() == 0 && now.Sub(b.lastTrial) >= b.trialAfter+TrialOverdue
-	case b.state == StateHalfOpen, ask.LastResort:
+	case b.state == StateHalfOpen, c.LastResort:
 		return b.trials() < maxTrials
 	}
 	return b.trials() == 0 && now.Sub(b.lastTrial) >= b.trialAfter
 }
 
-// ShedShare returns the share of the newest requests that the server rejected.
-func (b *Breaker) ShedShare() float64 { return b.shed }
+// ShedShare returns the share of recent requests that the server rejected, from 0 to 1.
+func (b *Breaker) ShedShare() float64 { return b.shedShare }
 
-// SuccessShare returns the share of the newest requests that the server answered well.
-func (b *Breaker) SuccessShare() float64 { return b.share }
+// SuccessShare returns the share of recent requests that the server answered well, from 0 to 1.
+func (b *Breaker) SuccessShare() float64 { return b.successShare }
 
-// RetryAfter returns how long it is until a trial is due, or zero where the
-// breaker is closed.
+// RetryAfter returns the time until a trial is due, or zero if the breaker is closed.
 func (b *Breaker) RetryAfter(now time.Time) time.Duration {
 	if b.state == StateClosed {
 		return 0
@@ -190,29 +187,30 @@
 	return max(b.trialAfter-now.Sub(b.lastTrial), 0)
 }
 
-// trialRunning is how long it is taken to be until the next trial while one runs.
-const trialRunning = 100 * time.Millisecond
+// minTrialWait is the least time until the next trial that TrialIn returns while one runs.
+const minTrialWait = 100 * time.Millisecond
 
-// TrialIn returns how long it is until a trial is let through, or zero where one would be
-// now or the breaker is closed.
+// TrialIn returns the time until a trial is admitted, or zero if one would be admitted now or
+// the breaker is closed.
 func (b *Breaker) TrialIn(now time.Time) time.Duration {
 	if b.Allow(now, Constraints{}) {
 		return 0
 	}
-	return max(b.RetryAfter(now), trialRunning)
+	return max(b.RetryAfter(now), minTrialWait)
 }
 
-// Grant notes that the server is to get a request, which its sender expects to take so
-// long; zero is unknown. The time until Start is not the server's: its sender may be slow.
+// Grant records that the request gets a slot of the server. expected is how long the sender
+// expects the request to take; zero is unknown. The time until Start does not count as the
+// server's: the sender may be slow.
 func (b *Breaker) Grant(now time.Time, id, route string, expected time.Duration) {
-	r := &running{route: route, expected: expected, granted: now, paused: true, trial: b.state != StateClosed}
+	r := &request{route: route, expected: expected, granted: now, paused: true, trial: b.state != StateClosed}
 	if r.trial {
-		r.trialBefore, b.lastTrial = b.lastTrial, now
+		r.previousTrial, b.lastTrial = b.lastTrial, now
 	}
 	b.running[id] = r
 }
 
-// Start notes that the server gets a request that was granted.
+// Start records that a granted request was passed to the server.
 func (b *Breaker) Start(now time.Time, id string) {
 	b.Resume(now, id)
 	if r := b.running[id]; r != nil {
@@ -220,7 +218,7 @@
 	}
 }
 
-// End notes what became of a request. It reports whether the state changed.
+// End records the result of a request. It reports whether the breaker opened or closed.
 func (b *Breaker) End(now time.Time, id string, result Result) bool {
 	r := b.running[id]
 	if r == nil {
@@ -228,102 +226,103 @@
 	}
 	delete(b.running, id)
 	if result == ResultNone {
-		b.unused(r)
+		b.revertTrial(r)
 	}
-	took := r.took(now)
-	if result == ResultOK && !r.unread && (r.overdue || b.tooLong(r, took)) {
-		return !r.overdue && b.fail(now, slowWeight)
+	took := r.workTime(now)
+	if result == ResultOK && !r.unread && (r.overdue || b.isOverdue(r, took)) {
+		return !r.overdue && b.recordFailure(now, slowWeight)
 	}
 	switch result {
 	case ResultOK:
 		if !r.unread {
-			b.learn(r.route, took)
+			b.updateMean(r.route, took)
 		}
 		if b.state != StateClosed && !r.trial {
-			// It began before the server became sick and tells nothing of now.
+			// The request began before the breaker opened: its success is no evidence of recovery.
 			return false
 		}
-		return b.succeed(now)
+		return b.recordSuccess(now)
 	case ResultBroken:
-		return b.fail(now, brokenWeight)
+		return b.recordFailure(now, brokenWeight)
 	case ResultError:
-		return b.fail(now, errorWeight)
+		return b.recordFailure(now, errorWeight)
 	case ResultShed:
-		b.shed += shareWeight * (1 - b.shed)
+		b.shedShare += shareWeight * (1 - b.shedShare)
 	}
 	return false
 }
 
-// unused takes back that there was a trial, where its request was never sent.
-func (b *Breaker) unused(r *running) {
+// revertTrial restores the time of the previous trial if the trial was never sent.
+func (b *Breaker) revertTrial(r *request) {
 	if r.trial && !r.started && b.lastTrial.Equal(r.granted) {
-		b.lastTrial = r.trialBefore
+		b.lastTrial = r.previousTrial
 	}
 }
 
-// Tick counts requests that run for too long, each and all together. It reports
-// whether the state changed.
+// Tick counts requests that run for too long as failures, each on its own and all together.
+// It reports whether the breaker opened.
 func (b *Breaker) Tick(now time.Time) bool {
 	changed := false
 	for _, r := range b.running {
-		if r.overdue || r.unread || !b.tooLong(r, r.took(now)) {
+		if r.overdue || r.unread || !b.isOverdue(r, r.workTime(now)) {
 			continue
 		}
 		r.overdue = true
-		changed = b.fail(now, slowWeight) || changed
+		changed = b.recordFailure(now, slowWeight) || changed
 	}
 	if b.state == StateClosed && b.Suspicion(now) >= hangSuspicion {
-		changed = b.fail(now, threshold) || changed
+		changed = b.recordFailure(now, openThreshold) || changed
 	}
 	return changed
 }
 
-// Reset forgets everything: another server runs at the address now.
+// Reset discards all state, for a new server at the address.
 func (b *Breaker) Reset() {
 	*b = *New()
 }
 
-// succeed counts a success. It reports whether the breaker closed.
-func (b *Breaker) succeed(now time.Time) bool {
-	b.share += shareWeight * (1 - b.share)
-	b.shed -= shareWeight * b.shed
-	b.endSilence(now)
+// recordSuccess counts a success. It reports whether the breaker closed.
+func (b *Breaker) recordSuccess(now time.Time) bool {
+	b.successShare += shareWeight * (1 - b.successShare)
+	b.shedShare -= shareWeight * b.shedShare
+	b.markAnswered(now)
 	if b.state == StateClosed {
 		b.score = max(b.score-successWeight, 0)
 		return false
 	}
 	b.state = StateHalfOpen
 	b.successes++
-	if b.successes < b.needed {
+	if b.successes < b.requiredSuccesses {
 		return false
 	}
 	b.state = StateClosed
 	b.score = 0
-	b.changed = now
+	b.lastChange = now
 	return true
 }
 
-// fail adds suspicion. It reports whether the breaker opened.
-func (b *Breaker) fail(now time.Time, weight float64) bool {
-	b.share -= shareWeight * b.share
+// recordFailure adds a failure to the score, or extends the pause between trials unless the breaker
+// is closed. It reports whether the breaker opened.
+func (b *Breaker) recordFailure(now time.Time, weight float64) bool {
+	b.successShare -= shareWeight * b.successShare
 	if b.state != StateClosed {
 		b.state = StateOpen
 		b.successes = 0
-		b.trialAfter = min(time.Duration(trialGrowth*float64(b.trialAfter)), maxTrialAfter)
+		b.trialAfter = min(time.Duration(trialPauseGrowth*float64(b.trialAfter)), maxTrialPause)
 		return false
 	}
 	b.score += weight
-	if b.score < threshold {
+	if b.score < openThreshold {
 		return false
 	}
-	b.needed = successesNeeded
-	if !b.changed.IsZero() && now.Sub(b.changed) < relapseTime {
-		b.needed = min(b.needed+relapseSuccesses, maxSuccesses)
+	b.requiredSuccesses = minSuccesses
+	if !b.lastChange.IsZero() && now.Sub(b.lastChange) < reopenWindow {
+		b.requiredSuccesses = min(b.requiredSuccesses+reopenSuccesses, maxSuccesses)
 	}
 	b.state = StateOpen
 	b.successes = 0
-	b.changed = now
-	b.trialAfter = firstTrialAfter
+	b.lastChange = now
+	b.trialAfter = firstTrialPause
 	b.lastTrial = now
 	return true
 }
--- a/breaker/breaker_test.go
+++ b/breaker/breaker_test.go
@@ -10,7 +10,7 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// step is one event at a server: a request begins, ends, or time passes.
+// step is one event at a server: a request starts or ends, or time passes.
 type step struct {
 	after time.Duration
 	start string
@@ -18,8 +18,8 @@
 	expected time.Duration
 	end      string
 	result   breaker.Result
-	// pause and resume name a request whose call begins or ends, unread and read one whose answer
-	// comes and is read.
+	// pause and resume name a request whose nested call begins or ends, unread and read one whose
+	// answer arrives or is read.
 	pause, resume, unread, read string
 }
 
@@ -54,7 +54,7 @@
 	return b, now
 }
 
-// served is n requests one after the other that all end well after took.
+// served returns the steps of n consecutive requests that succeed, each after took.
 func served(n int, took time.Duration) []step {
 	var steps []step
 	for i := range n {
@@ -64,31 +64,32 @@
 	return steps
 }
 
-// TestBreaker plays what one server shows and states what may come to it then.
+// TestBreaker checks the state of a breaker after a series of results, and which kinds of requests it
+// admits then.
 func TestBreaker(t *testing.T) {
 	broken := []step{{start: "broken"}, {after: ms, end: "broken", result: breaker.ResultBroken}}
 	tests := map[string]struct {
 		steps []step
 		state breaker.State
-		// trial, careful and lastResort say whether such requests may come.
+		// trial, careful and lastResort report whether such requests are admitted.
 		trial, careful, lastResort bool
 	}{
-		"all is well":                {served(5, 100*ms), breaker.StateClosed, true, true, true},
-		"one reset opens":            {broken, breaker.StateOpen, false, false, true},
-		"no trial before the pause":  {append(broken, step{after: 390 * ms}), breaker.StateOpen, false, false, true},
-		"a trial after a pause":      {append(broken, step{after: 410 * ms}), breaker.StateOpen, true, false, true},
-		"one error answer does not":  {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultError}}, breaker.StateClosed, true, true, true},
-		"two error answers in a row": {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultError}, {start: "b"}, {after: ms, end: "b", result: breaker.ResultError}}, breaker.StateOpen, false, false, true},
-		"rejections never open": {
+		"all succeed":                       {served(5, 100*ms), breaker.StateClosed, true, true, true},
+		"one reset opens it":                {broken, breaker.StateOpen, false, false, true},
+		"no trial before the pause":         {append(broken, step{after: 390 * ms}), breaker.StateOpen, false, false, true},
+		"a trial after a pause":             {append(broken, step{after: 410 * ms}), breaker.StateOpen, true, false, true},
+		"one error answer does not open it": {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultError}}, breaker.StateClosed, true, true, true},
+		"two consecutive error answers":     {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultError}, {start: "b"}, {after: ms, end: "b", result: breaker.ResultError}}, breaker.StateOpen, false, false, true},
+		"rejections never open it": {
 			[]step{{start: "a"}, {end: "a", result: breaker.ResultShed}, {start: "b"}, {end: "b", result: breaker.ResultShed}, {start: "c"}, {end: "c", result: breaker.ResultShed}},
 			breaker.StateClosed, true, true, true,
 		},
 		"one success is not enough": {append(broken, step{after: 410 * ms, start: "t"}, step{after: 50 * ms, end: "t", result: breaker.ResultOK}), breaker.StateHalfOpen, true, false, true},
-		"two successful trials close": {
+		"two successful trials close it": {
 			append(broken, step{after: 410 * ms, start: "t"}, step{after: 50 * ms, end: "t", result: breaker.ResultOK}, step{start: "u"}, step{after: 50 * ms, end: "u", result: breaker.ResultOK}),
 			breaker.StateClosed, true, true, true,
 		},
-		"what began before tells nothing of now": {
+		"successes of requests from before the opening do not count": {
 			[]step{
 				{start: "old-1"},
 				{start: "old-2"},
@@ -99,61 +100,61 @@
 			},
 			breaker.StateOpen, false, false, true,
 		},
-		"a request that the caller left": {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultNone}}, breaker.StateClosed, true, true, true},
+		"a request whose caller disconnected": {[]step{{start: "a"}, {after: ms, end: "a", result: breaker.ResultNone}}, breaker.StateClosed, true, true, true},
 		"requests that hang": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{after: 400 * ms}),
 			breaker.StateOpen, false, false, true,
 		},
-		"requests that hang before any answer, their time unknown": {
+		"requests that hang before any answer, without an expected duration": {
 			[]step{{start: "a"}, {start: "b"}, {after: 400 * ms}}, breaker.StateClosed, true, true, true,
 		},
 		"requests that hang before any answer": {
 			[]step{{start: "a", expected: 100 * ms}, {start: "b", expected: 100 * ms}, {after: 400 * ms}},
 			breaker.StateOpen, false, false, true,
 		},
-		"requests that take longer than their sender expects, as they did before": {
+		"requests that take longer than expected, but not longer than the mean here": {
 			append(served(5, 100*ms), step{start: "a", expected: 20 * ms}, step{start: "b", expected: 20 * ms}, step{after: 90 * ms}),
 			breaker.StateClosed, true, false, true,
 		},
-		"requests that wait for calls of theirs": {
+		"requests that wait for nested calls": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{pause: "a"}, step{pause: "b"}, step{after: 400 * ms}),
 			breaker.StateClosed, true, true, true,
 		},
-		"one that hangs, as long as others are answered": {
+		"one that hangs while others are answered": {
 			append(append(served(5, 100*ms), step{start: "a"}), served(3, 50*ms)...),
 			breaker.StateClosed, true, true, true,
 		},
-		"one that has not answered for the mean": {
+		"one that has run for longer than the mean": {
 			append(served(5, 100*ms), step{start: "a"}, step{after: 120 * ms}),
 			breaker.StateClosed, true, false, true,
 		},
-		"one that has not answered for nearly four times the mean": {
+		"one that has run for nearly four times the mean": {
 			append(served(5, 100*ms), step{start: "a"}, step{after: 380 * ms}),
 			breaker.StateClosed, true, false, false,
 		},
-		"many that have not answered for the mean": {
+		"many that have run for longer than the mean": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{start: "c"}, step{start: "d"}, step{after: 180 * ms}),
 			breaker.StateOpen, false, false, true,
 		},
-		"requests that hang after their calls": {
+		"requests that hang after their nested calls": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{pause: "a"}, step{pause: "b"},
 				step{after: 400 * ms, resume: "a"}, step{resume: "b"}, step{after: 400 * ms}),
 			breaker.StateOpen, false, false, true,
 		},
-		"answers that wait to be read": {
+		"unread answers": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{after: 120 * ms, unread: "a"}, step{unread: "b"}, step{after: 400 * ms}),
 			breaker.StateClosed, true, true, true,
 		},
-		"one of them, while another request runs": {
+		"an unread answer while another request runs": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{after: 120 * ms, unread: "a"}, step{after: 50 * ms}),
 			breaker.StateClosed, true, true, true,
 		},
-		"answers that hang once their begin is read": {
+		"answers that hang after their first bytes were read": {
 			append(served(5, 100*ms), step{start: "a"}, step{start: "b"}, step{after: 120 * ms, unread: "a"}, step{unread: "b"},
 				step{after: 10 * ms, read: "a"}, step{read: "b"}, step{after: 400 * ms}),
 			breaker.StateOpen, false, false, true,
 		},
-		"an answer that is read late": {
+		"an answer that is read late by the sidecar": {
 			append(served(5, 100*ms), step{start: "a"}, step{after: 120 * ms, unread: "a"}, step{after: 400 * ms, end: "a", result: breaker.ResultOK}),
 			breaker.StateClosed, true, true, true,
 		},
@@ -177,7 +178,8 @@
 	}
 }
 
-// TestTrialsThatHang: a server whose trials hang, or wait for calls that do, is tried again, since it may be well long before their time is over.
+// TestTrialsThatHang checks that further trials are admitted while trials hang or wait for nested
+// calls that hang: the server may recover long before the deadlines of these.
 func TestTrialsThatHang(t *testing.T) {
 	halfOpen := append(served(5, 100*ms), step{start: "x"}, step{after: ms, end: "x", result: breaker.ResultBroken},
 		step{after: 410 * ms, start: "t"}, step{after: 50 * ms, end: "t", result: breaker.ResultOK})
@@ -185,12 +187,12 @@
 		steps []step
 		trial bool
 	}{
-		"three that have just begun": {append(halfOpen, step{start: "a"}, step{start: "b"}, step{start: "c"}, step{after: 200 * ms}), false},
-		"three that hang":            {append(halfOpen, step{start: "a"}, step{start: "b"}, step{start: "c"}, step{after: 1500 * ms}), true},
-		"three that wait for calls": {
+		"three that have just started": {append(halfOpen, step{start: "a"}, step{start: "b"}, step{start: "c"}, step{after: 200 * ms}), false},
+		"three that hang":              {append(halfOpen, step{start: "a"}, step{start: "b"}, step{start: "c"}, step{after: 1500 * ms}), true},
+		"three that wait for nested calls": {
 			append(halfOpen, step{start: "a", pause: "a"}, step{start: "b", pause: "b"}, step{start: "c", pause: "c"}, step{after: 1500 * ms}), true,
 		},
-		"three that go on after calls": {
+		"three that resume after nested calls": {
 			append(halfOpen, step{start: "a", pause: "a"}, step{start: "b", pause: "b"}, step{start: "c", pause: "c"},
 				step{after: 100 * ms, resume: "a"}, step{resume: "b"}, step{resume: "c"}, step{after: 100 * ms}), false,
 		},
@@ -203,8 +205,9 @@
 	}
 }
 
-// TestTrialGivenBack: a trial whose slot is given back unused is none, and the next one may come at once.
-func TestTrialGivenBack(t *testing.T) {
+// TestUnsentTrial checks that a trial whose slot is returned unused does not count, so that the next
+// one is admitted at once.
+func TestUnsentTrial(t *testing.T) {
 	b, now := run([]step{{start: "x"}, {after: ms, end: "x", result: breaker.ResultBroken}, {after: 410 * ms}})
 	for _, id := range []string{"a", "b"} {
 		assert.Assert(t, b.Allow(now, breaker.Constraints{}))
@@ -215,13 +218,13 @@
 	}
 	assert.Assert(t, b.Allow(now, breaker.Constraints{}))
 	assert.Assert(t, !b.Allow(now, breaker.Constraints{Scarce: true}))
-	assert.Assert(t, b.Allow(now.Add(breaker.TrialOverdue), breaker.Constraints{Scarce: true}), "it is overdue since the first")
+	assert.Assert(t, b.Allow(now.Add(breaker.TrialOverdue), breaker.Constraints{Scarce: true}), "a trial has been overdue since the first")
 	b.Grant(now, "c", "route", 0)
 	b.End(now, "c", breaker.ResultBroken)
-	assert.Assert(t, !b.Allow(now, breaker.Constraints{}), "one for which no connection opened is a failed trial")
+	assert.Assert(t, !b.Allow(now, breaker.Constraints{}), "a trial for which no connection could be opened counts as failed")
 }
 
-// TestTrialIn states how long it is until a server gets a trial.
+// TestTrialIn checks the time until a server gets its next trial.
 func TestTrialIn(t *testing.T) {
 	open := []step{{start: "a"}, {after: 10 * ms, end: "a", result: breaker.ResultBroken}}
 	tests := map[string]struct {
@@ -229,11 +232,11 @@
 		after time.Duration
 		want  time.Duration
 	}{
-		"a closed breaker waits for none": {steps: served(2, 10*ms)},
-		"one that has just opened":        {steps: open, want: 400 * ms},
-		"later":                           {steps: open, after: 300 * ms, want: 100 * ms},
-		"a trial is due":                  {steps: open, after: 400 * ms},
-		"a trial runs":                    {steps: append(open[:2:2], step{after: 400 * ms, start: "b"}), after: 350 * ms, want: 100 * ms},
+		"a closed breaker needs none": {steps: served(2, 10*ms)},
+		"just opened":                 {steps: open, want: 400 * ms},
+		"later":                       {steps: open, after: 300 * ms, want: 100 * ms},
+		"a trial is due":              {steps: open, after: 400 * ms},
+		"a trial runs":                {steps: append(open[:2:2], step{after: 400 * ms, start: "b"}), after: 350 * ms, want: 100 * ms},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -243,7 +246,8 @@
 	}
 }
 
-// TestScarceTrial: a request that may find no second attempt is a trial only where one is overdue.
+// TestScarceTrial checks that a request that is likely to get no second attempt is a trial only if one
+// is overdue.
 func TestScarceTrial(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := breaker.New()
--- a/breaker/silence_test.go
+++ b/breaker/suspicion_test.go
@@ -11,11 +11,10 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// suspectedShare drives a healthy server with so many slots through a quiet day and returns
-// the share of arrivals that find it more suspect than a careful request bears. Arrivals
-// are random; work takes an exponential time about its mean; load is the share of the slots
-// in use on average.
-func suspectedShare(slots int, load, bears float64) float64 {
+// suspectedShare simulates a healthy server with the given slots and returns the share of
+// arrivals that find its suspicion above limit. Arrivals are random, and work takes an
+// exponentially distributed time; load is the average share of the slots in use.
+func suspectedShare(slots int, load, limit float64) float64 {
 	const (
 		mean     = 400 * time.Millisecond
 		arrivals = 20000
@@ -35,7 +34,7 @@
 			continue
 		}
 		asked++
-		if b.Suspicion(now) > bears {
+		if b.Suspicion(now) > limit {
 			suspected++
 		}
 		id := fmt.Sprint(i)
@@ -46,7 +45,7 @@
 	return float64(suspected) / float64(asked)
 }
 
-// finishUntil ends the requests that are over by a time, in their order.
+// finishUntil ends the requests whose time is over by now, in the order of their ends.
 func finishUntil(b *breaker.Breaker, ends map[string]time.Time, now time.Time) {
 	for {
 		next := ""
@@ -63,26 +62,26 @@
 	}
 }
 
-// TestSilenceOfHealthyServers: how often a healthy server that has a free slot looks too
-// silent to a careful request whose next choice costs the same. The silence of a server
-// that works has an exponential distribution with mean one, whatever its slots and its
-// load: it exceeds 0.7 in half of the time in which the server works at all. An answer that
-// took too long does not end a silence, which adds some more.
-func TestSilenceOfHealthyServers(t *testing.T) {
-	const bears = 0.7
+// TestSuspicionOfHealthyServers checks how often a healthy server with a free slot exceeds the
+// suspicion that a Careful request accepts if the next server costs the same. The suspicion of
+// a busy healthy server is exponentially distributed with mean one, whatever its slots and its
+// load, so it exceeds 0.7 half of the time in which the server works at all. An answer that
+// took too long does not reset the suspicion, which adds some more.
+func TestSuspicionOfHealthyServers(t *testing.T) {
+	const limit = 0.7
 	tests := map[string]struct {
 		slots      int
 		load       float64
 		least, top float64
 	}{
-		"a tenth of six slots in use":    {6, 0.1, 0.22, 0.31},
-		"four in ten of six slots":       {6, 0.4, 0.46, 0.57},
-		"four in ten of twelve slots":    {12, 0.4, 0.56, 0.67},
-		"seven in ten of six slots used": {6, 0.7, 0.49, 0.60},
+		"one in ten of six slots":     {6, 0.1, 0.22, 0.31},
+		"four in ten of six slots":    {6, 0.4, 0.46, 0.57},
+		"four in ten of twelve slots": {12, 0.4, 0.56, 0.67},
+		"seven in ten of six slots":   {6, 0.7, 0.49, 0.60},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			share := suspectedShare(test.slots, test.load, bears)
+			share := suspectedShare(test.slots, test.load, limit)
 			t.Logf("suspected by %.3f of the arrivals", share)
 			assert.Assert(t, share >= test.least && share <= test.top, "%.3f", share)
 		})
--- a/overload/ablation_test.go
+++ b/overload/ablation_test.go
@@ -28,16 +28,16 @@
 var mechanisms = map[string][]overlay.Edit{
 	"nothing": nil,
 	"breaker": {
-		{File: breakerFile, From: "case b.state == StateClosed:\n\t\treturn !ask", To: "case true, b.state == StateClosed:\n\t\treturn true || !ask"},
+		{File: breakerFile, From: "case b.state == StateClosed:\n\t\treturn !c", To: "case true, b.state == StateClosed:\n\t\treturn true || !c"},
 	},
 	"slow evidence": {
-		{File: breakerFile, From: "slowWeight   = 0.5", To: "slowWeight   = 0.0"},
+		{File: breakerFile, From: "slowWeight    = 0.5", To: "slowWeight    = 0.0"},
 	},
 	"silence opens": {
 		{File: breakerFile, From: "b.Suspicion(now) >= hangSuspicion", To: "false"},
 	},
 	"silence borne": {
-		{File: breakerFile, From: "return !ask.RiskAverse() || b.Suspicion(now) <= ask.bears()", To: "return true"},
+		{File: breakerFile, From: "return !c.RiskAverse() || b.Suspicion(now) <= c.maxSuspicion()", To: "return true"},
 	},
 	"trials of scarce": {
 		{File: breakerFile, From: "return b.trials == 0 && now.Sub(b.lastTrial) >= b.trialAfter+TrialOverdue", To: "return false"},
