--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,13 +1,11 @@
-// Package choice decides which server of a service gets a request, as one
-// ingress sees them.
+// Package choice orders the servers of a service for a request, as one ingress sees them.
 //
-// Each server has a cost: how full it was by the last reply of the process beside
-// it, plus what this ingress has sent there since, plus surcharges for another
-// data centre (the more, the larger the request and its answer are), a reported
-// sickness, rejections, warming up, and a process that did not reply. The cheapest server is asked
-// first. A wrong choice is cheap, since a server that is full or sick refuses
-// the reservation within a round trip, without a request being lost; the state
-// that comes with the refusal makes the next choice better.
+// Each server has a cost: its occupancy by the last status of its sidecar, plus the requests
+// that this ingress has sent there since, plus surcharges for another data centre (growing
+// with the size of the request and its answer), a reported unhealthy state, rejections,
+// warming up, and a sidecar that did not reply. The cheapest server is asked first. A wrong
+// choice costs little: a full or unhealthy server refuses the reservation within a round trip,
+// no request is lost, and the status that comes with the refusal improves the next choice.
 package choice
 
 import (
@@ -22,73 +20,73 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// Status is what the process beside a server told of it.
+// Status is the state of a server as its sidecar reported it.
 type Status struct {
-	// Load is how many requests hold a slot or wait for one, Slots how many
-	// slots there are.
+	// Load is the number of requests that hold a slot or wait for one, Slots the number of
+	// slots.
 	Load  float64
 	Slots float64
-	// Unhealthy says that the breaker is not closed.
-	Unhealthy    bool
-	Leaving bool
-	// SuccessShare is the share of its newest requests that it answered well,
-	// from 0 to 1.
+	// Unhealthy reports that the breaker is not closed.
+	Unhealthy bool
+	Leaving   bool
+	// SuccessShare is the share of its recent requests that it answered well, from 0 to 1.
 	SuccessShare float64
-	// ShedShare is the share of its newest requests that it rejected, from 0 to 1.
+	// ShedShare is the share of its recent requests that it rejected, from 0 to 1.
 	ShedShare float64
-	// Suspicion says how long the server has not answered for (package breaker).
+	// Suspicion measures how long the server has not answered (breaker.Breaker.Suspicion).
 	Suspicion float64
-	// Full says that a reservation was refused for want of a slot.
+	// Full reports that a reservation was refused for lack of a slot.
 	Full bool
-	// SlotIn is when a full server is likely to have a slot.
+	// SlotIn is the time until a full server probably has a free slot.
 	SlotIn time.Duration
-	// Stopping says that the process beside the server refused since it is about to end;
-	// the next one is likely to be there after BackIn.
+	// Stopping reports that the sidecar refused because it is about to stop; its successor
+	// is probably ready after BackIn.
 	Stopping bool
 	BackIn   time.Duration
-	// Spent says that the server may get no extra arrival just then.
+	// Spent reports that the server's budget of extra attempts is spent for now.
 	Spent bool
-	// TrialIn is how long it is until a sick server may get its next trial.
+	// TrialIn is the time until an unhealthy server admits its next trial.
 	TrialIn time.Duration
-	// TrialDue says that a sick server waits for a trial.
+	// TrialDue reports that an unhealthy server waits for a trial.
 	TrialDue bool
 }
 
-// Server is one server in the eyes of an ingress.
+// Server is the state of one server at an ingress.
 type Server struct {
-	// The entry is never changed, only replaced: searches hold it.
+	// The entry is never modified, only replaced, since searches keep pointers to it.
 	*slatewind.ServerEntry
-	// id is the identity of the start that the entry is of.
+	// id identifies the start of the server that the entry describes.
 	id string
-	// hash is that of its address.
+	// hash is the hash of its address.
 	hash uint64
-	// told is the newest state, as it was told at toldAt.
-	told   Status
-	toldAt time.Time
-	// trialAt is when a trial of it became due, or will.
+	// status is the newest status, statusAt when the sidecar reported it.
+	status   Status
+	statusAt time.Time
+	// trialAt is when a trial became due or becomes due.
 	trialAt time.Time
-	// success is when this ingress last got a whole answer from it.
-	success time.Time
-	// knownAt is when this ingress heard of the server, askedAt when it last asked it for
-	// a slot.
+	// lastSuccess is when this ingress last got a complete answer from it.
+	lastSuccess time.Time
+	// knownAt is when this ingress learned of the server, askedAt when it last asked it for a
+	// slot.
 	knownAt   time.Time
 	askedAt   time.Time
 	warmUntil time.Time
-	// sentSince counts reservations since toldAt, inFlight all that are open.
+	// sentSince counts the reservations made since statusAt, less those that ended; inFlight
+	// counts all open ones.
 	sentSince int
 	inFlight  int
-	// silence is how long a process that does not reply is avoided, until avoid.
-	silence time.Duration
-	avoid   time.Time
+	// avoidFor is how long a sidecar that does not reply is avoided, avoidUntil when that ends.
+	avoidFor   time.Duration
+	avoidUntil time.Time
 }
 
-// Service chooses among the servers of one service. It is not safe for use by
-// several goroutines; its host guards it.
+// Service orders the servers of one service. It is not safe for concurrent use; its owner
+// guards it by a lock.
 type Service struct {
 	dataCentre string
 	random     *rand.Rand
-	// servers holds them by the identities of their starts, starts the newest of those by
-	// the servers' names. Whatever is told of a start that is none of them is forgotten.
+	// servers holds the servers by the ids of their starts; starts holds the id of the newest
+	// start by server name. Anything reported about another start is discarded.
 	servers map[string]*Server
 	starts  map[string]string
 }
@@ -98,8 +96,8 @@
 	return &Service{dataCentre: dataCentre, random: rand.New(rand.NewPCG(seed, ^seed)), servers: map[string]*Server{}, starts: map[string]string{}}
 }
 
-// Put notes a new or changed server. Another start of one that is known takes its place
-// and begins with nothing; an older start changes nothing.
+// Put adds or updates a server. A newer start of a known server replaces the older one and
+// inherits none of its state; an older start changes nothing.
 func (s *Service) Put(now time.Time, entry slatewind.ServerEntry) {
 	id := entry.ID()
 	server := s.servers[id]
@@ -116,7 +114,7 @@
 	server.warmUntil = now.Add(entry.Warming)
 }
 
-// Remove forgets a start of a server.
+// Remove deletes a start of a server.
 func (s *Service) Remove(id string) {
 	if server := s.servers[id]; server != nil {
 		delete(s.starts, server.Name)
@@ -124,13 +122,13 @@
 	}
 }
 
-// Takes reports whether a start of a server is known and does not leave.
+// Takes reports whether a start of a server is known and, by its entry, not leaving.
 func (s *Service) Takes(id string) bool {
 	server := s.servers[id]
 	return server != nil && !server.Leaving
 }
 
-// Addresses returns those of all known servers, in no order.
+// Addresses returns the addresses of all known servers, in no particular order.
 func (s *Service) Addresses() []string {
 	addresses := make([]string, 0, len(s.servers))
 	for _, server := range s.servers {
@@ -139,9 +137,9 @@
 	return addresses
 }
 
-// Sharer returns the place of the server at an address among the servers by the hashes of
-// their addresses, or none where it is not known. All processes find the same order, and a
-// change of one server moves no other by more than one.
+// Sharer returns the rank of the server at an address among the servers, by the hashes of
+// their addresses, or the zero Sharer if it is not known. All processes compute the same
+// ranks, and adding or removing one server changes the rank of any other by at most one.
 func (s *Service) Sharer(address string) retry.Sharer {
 	place := retry.Sharer{Servers: len(s.servers)}
 	own, known := xxhash.Sum64String(address), false
@@ -157,50 +155,50 @@
 	return place
 }
 
-// Request says what the request is like that needs a server.
+// Request describes the request for which a server is chosen.
 type Request struct {
-	// Ask says what it may do to servers that look sick.
+	// Constraints restrict the servers to which it may go, by their health.
 	breaker.Constraints
-	// Extra says that a server has seen it before, or may see it.
+	// Extra reports that a server has received it before, or may have.
 	Extra bool
-	// Bytes is how many bytes it and its answer are expected to have.
+	// Bytes is the expected size of the request and its answer in bytes.
 	Bytes float64
 }
 
-// Candidate is a server that may get a request.
+// Candidate is a server that may be asked for a slot.
 type Candidate struct {
 	*slatewind.ServerEntry
 	id string
-	// Cost is what it costs to send the request there; 1 is a server all of whose
-	// slots are in use.
+	// Cost is the cost of sending the request there; 1 is a server all of whose slots are in
+	// use.
 	Cost float64
-	// Stale says that nothing was heard of it lately.
+	// Stale reports that there is no recent status of the server.
 	Stale bool
 }
 
-// ID returns the identity of the server's start, by which the service knows it.
+// ID returns the id of the server's start, by which the Service methods identify it.
 func (c Candidate) ID() string { return c.id }
 
 // Order returns the servers that may get a request, cheapest first.
-func (s *Service) Order(now time.Time, want Request) []Candidate {
+func (s *Service) Order(now time.Time, request Request) []Candidate {
 	list := make([]Candidate, 0, len(s.servers))
-	unheardCost := sickCost * s.sickShare(now)
+	staleCost := unhealthyCost * s.unhealthyShare(now)
 	for _, server := range s.servers {
-		if server.passedOver(now, want) != DispositionNone {
+		if server.skipReason(now, request) != DispositionNone {
 			continue
 		}
-		cost := s.cost(now, server, want) + jitter*s.random.Float64() - s.trialRelief(now, server, want)
-		unheard := !server.heardLately(now)
-		if unheard {
-			cost += unheardCost
+		cost := s.cost(now, server, request) + jitter*s.random.Float64() - s.trialDiscount(now, server, request)
+		stale := !server.hasRecentStatus(now)
+		if stale {
+			cost += staleCost
 		}
-		list = append(list, Candidate{server.ServerEntry, server.id, cost, unheard})
+		list = append(list, Candidate{server.ServerEntry, server.id, cost, stale})
 	}
 	slices.SortFunc(list, byCost)
 	return list
 }
 
-// byCost compares candidates by their costs, which are numbers.
+// byCost compares candidates by cost. No cost is NaN.
 func byCost(a, b Candidate) int {
 	switch {
 	case a.Cost < b.Cost:
@@ -211,32 +209,32 @@
 	return 0
 }
 
-// sickShare returns the share of the servers that are expected to be sick among those of
-// which nothing was heard lately, by those of which something was. A sick server is idle,
-// so that at no cost it would be asked before all that are busy with the requests that it
-// does not take.
-func (s *Service) sickShare(now time.Time) float64 {
-	heard, sick := 0, 0
+// unhealthyShare estimates the share of unhealthy servers among those without a recent status
+// from those with one. An unhealthy server is idle, so without the estimated cost all stale
+// servers would be asked before the healthy ones, which are busy with the requests that the
+// unhealthy ones do not take.
+func (s *Service) unhealthyShare(now time.Time) float64 {
+	replied, unhealthy := 0, 0
 	for _, server := range s.servers {
-		if !server.heardLately(now) {
+		if !server.hasRecentStatus(now) {
 			continue
 		}
-		heard++
-		if server.told.Unhealthy {
-			sick++
+		replied++
+		if server.status.Unhealthy {
+			unhealthy++
 		}
 	}
-	return shareOf(sick, heard)
+	return unhealthyShareOf(unhealthy, replied)
 }
 
-// Skipped reports whether a server is not to be asked any more: it may have been heard
-// of since the order was made.
-func (s *Service) Skipped(now time.Time, id string, want Request) bool {
+// Skipped reports whether a server must not be asked any more: its status may have changed
+// since Order.
+func (s *Service) Skipped(now time.Time, id string, request Request) bool {
 	server := s.servers[id]
-	return server == nil || server.passedOver(now, want) != DispositionNone
+	return server == nil || server.skipReason(now, request) != DispositionNone
 }
 
-// Reserved notes that a reservation goes to a server.
+// Reserved records that a reservation is sent to a server.
 func (s *Service) Reserved(now time.Time, id string) {
 	if server := s.servers[id]; server != nil {
 		server.askedAt = now
@@ -245,7 +243,7 @@
 	}
 }
 
-// Ended notes that a reservation is over, in whatever way.
+// Ended records that a reservation ended, whatever its result.
 func (s *Service) Ended(id string) {
 	if server := s.servers[id]; server != nil {
 		server.inFlight = max(server.inFlight-1, 0)
@@ -253,56 +251,56 @@
 	}
 }
 
-// Replied takes the state that the process beside a server replied with.
-func (s *Service) Replied(now time.Time, id string, told Status) {
+// Replied updates the status of a server by a reply of its sidecar to this ingress.
+func (s *Service) Replied(now time.Time, id string, status Status) {
 	server := s.servers[id]
 	if server == nil {
 		return
 	}
-	server.tell(now, told)
+	server.updateStatus(now, status)
 	server.sentSince = 0
-	server.silence = 0
-	server.avoid = time.Time{}
+	server.avoidFor = 0
+	server.avoidUntil = time.Time{}
 }
 
-// Reported takes the state that the process beside a server told another one at a time,
-// unless a newer one is known. What was sent there since counts on.
-func (s *Service) Reported(at time.Time, id string, told Status) {
+// Reported updates the status of a server as its sidecar reported it to another process at a
+// time, unless a newer one is known. Reservations made since then still count.
+func (s *Service) Reported(at time.Time, id string, status Status) {
 	server := s.servers[id]
-	if server == nil || !at.After(server.toldAt) {
+	if server == nil || !at.After(server.statusAt) {
 		return
 	}
-	server.tell(at, told)
+	server.updateStatus(at, status)
 }
 
-// tell notes a state that was told at a time. A trial that was due already and was not made is
-// due since then.
-func (server *Server) tell(at time.Time, told Status) {
-	if trialAt := at.Add(told.TrialIn); !server.told.Unhealthy || told.TrialIn > 0 || server.trialAt.After(trialAt) {
+// updateStatus sets a status reported at a time. If a trial was already due and has not been
+// made, the time since when it is due does not change.
+func (server *Server) updateStatus(at time.Time, status Status) {
+	if trialAt := at.Add(status.TrialIn); !server.status.Unhealthy || status.TrialIn > 0 || server.trialAt.After(trialAt) {
 		server.trialAt = trialAt
 	}
-	server.told, server.toldAt = told, at
+	server.status, server.statusAt = status, at
 }
 
-// Succeeded notes a whole answer of a server.
+// Succeeded records a complete answer of a server.
 func (s *Service) Succeeded(now time.Time, id string) {
 	if server := s.servers[id]; server != nil {
-		server.success = now
+		server.lastSuccess = now
 	}
 }
 
-// NoReply notes that the process beside a server did not reply; it is avoided for
-// a while, twice as long each time up to maxSilence.
+// NoReply records that the sidecar of a server did not reply. The server is avoided for a
+// while, twice as long each time, up to maxAvoid.
 func (s *Service) NoReply(now time.Time, id string) {
 	if server := s.servers[id]; server != nil {
-		server.silence = min(max(2*server.silence, firstSilence), maxSilence)
-		server.avoid = now.Add(server.silence)
+		server.avoidFor = min(max(2*server.avoidFor, minAvoid), maxAvoid)
+		server.avoidUntil = now.Add(server.avoidFor)
 	}
 }
 
-// Moved notes that a server of another service runs at a server's address.
+// Moved records that a server of another service runs at a server's address.
 func (s *Service) Moved(now time.Time, id string) {
 	if server := s.servers[id]; server != nil {
-		server.avoid = now.Add(goneMemory)
+		server.avoidUntil = now.Add(movedAvoid)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// TestOrder plays what an ingress hears of four servers, two near and two far,
-// and states which it asks first and which not at all.
+// TestOrder checks which of four servers, two in the own data centre (near) and two in another
+// (far), an ingress asks first and which not at all, by their statuses.
 func TestOrder(t *testing.T) {
 	start := time.Unix(1000, 0)
 	entry := func(name, dc string) slatewind.ServerEntry {
@@ -23,42 +23,42 @@
 	}
 	careful := breaker.Constraints{Careful: true}
 	tests := map[string]struct {
-		hear  func(s *choice.Service)
-		after time.Duration
-		ask   breaker.Constraints
-		// bytes is the size of the request and its answer.
+		setup       func(s *choice.Service)
+		after       time.Duration
+		constraints breaker.Constraints
+		// bytes is the expected size of the request and its answer.
 		bytes float64
-		// first is asked before all others; without are not asked.
+		// first is asked before all others; the servers in without are not asked.
 		first   string
 		without []string
 	}{
-		"a scarce request asks a sick server whose trial is overdue, however often it says so": {
-			hear: func(s *choice.Service) {
+		"a scarce request asks an unhealthy server whose trial is overdue, however often that is reported": {
+			setup: func(s *choice.Service) {
 				for _, at := range []time.Duration{0, 100 * ms, 200 * ms, 300 * ms} {
 					s.Replied(start.Add(at-300*ms), "near-1", choice.Status{Unhealthy: true})
 				}
 				s.Replied(start, "near-2", choice.Status{Unhealthy: true})
 			},
-			ask: breaker.Constraints{Scarce: true}, without: []string{"near-2"},
+			constraints: breaker.Constraints{Scarce: true}, without: []string{"near-2"},
 		},
-		"a full server makes the far ones cheaper": {
-			hear: func(s *choice.Service) {
+		"far servers are cheaper than full ones": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 5, Slots: 4})
 				s.Replied(start, "near-2", choice.Status{Load: 6, Slots: 4})
 				s.Replied(start, "far-1", choice.Status{Load: 3, Slots: 4})
 			},
 			first: "far-2",
 		},
-		"a large request stays near although the servers are full": {
-			hear: func(s *choice.Service) {
+		"a large request stays local although the servers are full": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 5, Slots: 4})
 				s.Replied(start, "near-2", choice.Status{Load: 6, Slots: 4})
 			},
 			bytes: 9000,
 			first: "near-1",
 		},
-		"a large request leaves long queues": {
-			hear: func(s *choice.Service) {
+		"a large request goes elsewhere if queues are long": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 15, Slots: 4})
 				s.Replied(start, "near-2", choice.Status{Load: 16, Slots: 4})
 				s.Replied(start, "far-1", choice.Status{Load: 3, Slots: 4})
@@ -66,70 +66,70 @@
 			bytes: 9000,
 			first: "far-2",
 		},
-		"near goes first while it is not much fuller": {
-			hear:  func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 3, Slots: 4}) },
+		"a near server goes first while it is not much fuller": {
+			setup: func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 3, Slots: 4}) },
 			first: "near-2",
 		},
 		"a leaving server is not asked": {
-			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Leaving: true}) },
+			setup:   func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Leaving: true}) },
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
-		"a sick server is not asked before its trial": {
-			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
+		"an unhealthy server is not asked before its trial": {
+			setup:   func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
 			after:   100 * ms,
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
-		"a sick server is asked when its trial is due": {
-			hear:  func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
+		"an unhealthy server is asked when its trial is due": {
+			setup: func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
 			after: 210 * ms,
 			first: "near-2",
 		},
-		"a careful request keeps away longer": {
-			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
-			after:   210 * ms,
-			ask:     careful,
-			first:   "near-2",
-			without: []string{"near-1"},
+		"a careful request avoids an unhealthy server for longer": {
+			setup:       func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms}) },
+			after:       210 * ms,
+			constraints: careful,
+			first:       "near-2",
+			without:     []string{"near-1"},
 		},
-		"as a last resort a useful sick server is asked": {
-			hear: func(s *choice.Service) {
+		"as a last resort a useful unhealthy server is asked": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Unhealthy: true, TrialIn: 200 * ms, SuccessShare: 0.7})
 				s.Replied(start, "near-2", choice.Status{Unhealthy: true, TrialIn: 200 * ms, SuccessShare: 0.2})
 			},
-			after:   10 * ms,
-			ask:     breaker.Constraints{Careful: true, LastResort: true},
-			without: []string{"near-2"},
+			after:       10 * ms,
+			constraints: breaker.Constraints{Careful: true, LastResort: true},
+			without:     []string{"near-2"},
 		},
 		"a full server is not asked again at once": {
-			hear:    func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true}) },
+			setup:   func(s *choice.Service) { s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true}) },
 			after:   50 * ms,
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
-		"a full server is not asked before half of its queue has run": {
-			hear: func(s *choice.Service) {
+		"a full server is not asked before half of its wait has passed": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
 			},
 			after:   190 * ms,
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
-		"a full server is asked again then": {
-			hear: func(s *choice.Service) {
+		"a full server is asked again after half of its wait": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 4, Slots: 4, Full: true, SlotIn: 400 * ms})
 			},
 			after: 210 * ms,
 			first: "near-2",
 		},
-		"a silent process is asked last": {
-			hear:  func(s *choice.Service) { s.NoReply(start, "near-1") },
+		"a server whose sidecar did not reply is asked last": {
+			setup: func(s *choice.Service) { s.NoReply(start, "near-1") },
 			after: 100 * ms,
 			first: "near-2",
 		},
-		"silence is forgiven by a word": {
-			hear: func(s *choice.Service) {
+		"a reply ends the avoidance of a sidecar": {
+			setup: func(s *choice.Service) {
 				s.NoReply(start, "near-1")
 				s.Replied(start, "near-1", choice.Status{Slots: 4})
 				s.Replied(start, "near-2", choice.Status{Load: 4, Slots: 4})
@@ -137,63 +137,65 @@
 			first: "near-1",
 		},
 		"a careful request prefers a recent success": {
-			hear: func(s *choice.Service) {
+			setup: func(s *choice.Service) {
 				s.Succeeded(start, "near-2")
 			},
-			after: 100 * ms,
-			ask:   careful,
-			first: "near-2",
+			after:       100 * ms,
+			constraints: careful,
+			first:       "near-2",
 		},
-		"a server that has not answered for long is dearer": {
-			hear: func(s *choice.Service) {
+		"a server that has not answered for long costs more": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Slots: 4, Suspicion: 4})
 				s.Replied(start, "near-2", choice.Status{Slots: 4})
 			},
 			first: "near-2",
 		},
-		"a server that rejects is dearer": {
-			hear: func(s *choice.Service) {
+		"a server that rejects costs more": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Slots: 4, ShedShare: 0.5})
 			},
 			first: "near-2",
 		},
-		"a server that has just started is dearer": {
-			hear: func(s *choice.Service) {
+		"a server that has just started costs more": {
+			setup: func(s *choice.Service) {
 				warming := entry("near-1", "near")
 				warming.Warming = time.Second
 				s.Put(start, warming)
 			},
 			first: "near-2",
 		},
-		"a busy server goes before an unknown one where many are sick": {
-			hear: func(s *choice.Service) {
+		"a busy server goes before one without a status if many are unhealthy": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Load: 2, Slots: 4})
 				s.Replied(start, "far-1", choice.Status{Unhealthy: true, TrialIn: time.Second})
 				s.Replied(start, "far-2", choice.Status{Unhealthy: true, TrialIn: time.Second})
 			},
-			ask:     careful,
-			first:   "near-1",
-			without: []string{"far-1", "far-2"},
+			constraints: careful,
+			first:       "near-1",
+			without:     []string{"far-1", "far-2"},
 		},
-		"a server that waits for a trial is asked now and then": {
-			hear: func(s *choice.Service) {
+		"a server that waits for a trial is asked by some requests": {
+			setup: func(s *choice.Service) {
 				s.Reported(start, "near-1", choice.Status{Unhealthy: true, TrialDue: true})
 				s.Replied(start, "near-2", choice.Status{Load: 4, Slots: 4})
 			},
 		},
-		"a report that is older than what was heard changes nothing": {
-			hear: func(s *choice.Service) {
+		"a report that is older than the last reply changes nothing": {
+			setup: func(s *choice.Service) {
 				s.Replied(start, "near-1", choice.Status{Slots: 4})
 				s.Reported(start.Add(-ms), "near-1", choice.Status{Unhealthy: true, TrialIn: time.Second})
 			},
 		},
-		"a reported sickness counts": {
-			hear:    func(s *choice.Service) { s.Reported(start, "near-1", choice.Status{Unhealthy: true, TrialIn: time.Second}) },
+		"a reported unhealthy state counts": {
+			setup: func(s *choice.Service) {
+				s.Reported(start, "near-1", choice.Status{Unhealthy: true, TrialIn: time.Second})
+			},
 			first:   "near-2",
 			without: []string{"near-1"},
 		},
-		"a server that leaves by its entry is not asked": {
-			hear: func(s *choice.Service) {
+		"a server whose entry says that it is leaving is not asked": {
+			setup: func(s *choice.Service) {
 				leaving := entry("near-1", "near")
 				leaving.Leaving = true
 				s.Put(start, leaving)
@@ -201,7 +203,7 @@
 			without: []string{"near-1"},
 		},
 		"a removed server is not asked": {
-			hear:    func(s *choice.Service) { s.Remove("near-1") },
+			setup:   func(s *choice.Service) { s.Remove("near-1") },
 			without: []string{"near-1"},
 		},
 	}
@@ -215,9 +217,9 @@
 				for _, name := range []string{"far-1", "far-2"} {
 					s.Put(start, entry(name, "far"))
 				}
-				test.hear(s)
+				test.setup(s)
 				var names []string
-				for _, e := range s.Order(start.Add(test.after), choice.Request{Constraints: test.ask, Bytes: test.bytes}) {
+				for _, e := range s.Order(start.Add(test.after), choice.Request{Constraints: test.constraints, Bytes: test.bytes}) {
 					names = append(names, e.Name)
 				}
 				if test.first != "" {
@@ -234,9 +236,9 @@
 	}
 }
 
-// TestReservationsCount: what an ingress has sent itself counts until it hears
-// more.
-func TestReservationsCount(t *testing.T) {
+// TestReservationsAddToLoad checks that the own open reservations of an ingress count as load
+// until the next status.
+func TestReservationsAddToLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := choice.NewService("dc", 1)
 	for _, name := range []string{"a", "b"} {
@@ -250,16 +252,16 @@
 	assert.Equal(t, s.Order(now, choice.Request{})[0].Name, "a")
 }
 
-// TestStoppingIsAskedAgain: a server whose process stops is asked again before long, since
-// the next process may be there at any moment.
-func TestStoppingIsAskedAgain(t *testing.T) {
+// TestStoppingIsRetried checks that a server whose sidecar stops is asked again soon, since the
+// next sidecar may be ready at any moment.
+func TestStoppingIsRetried(t *testing.T) {
 	tests := map[string]struct {
 		backIn, age time.Duration
-		passedOver  bool
+		skipped     bool
 	}{
-		"a moment ago":                  {2 * time.Second, 290 * time.Millisecond, true},
-		"long before it is to be there": {2 * time.Second, 310 * time.Millisecond, false},
-		"when it is to be there":        {100 * time.Millisecond, 110 * time.Millisecond, false},
+		"just stopped":                     {2 * time.Second, 290 * time.Millisecond, true},
+		"long before the next is expected": {2 * time.Second, 310 * time.Millisecond, false},
+		"when the next is expected":        {100 * time.Millisecond, 110 * time.Millisecond, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -267,7 +269,7 @@
 			s := choice.NewService("near", 1)
 			s.Put(now, slatewind.ServerEntry{Name: "a", Service: "s", DataCentre: "near", Slots: 4})
 			s.Replied(now, "a", choice.Status{Stopping: true, BackIn: test.backIn})
-			assert.Equal(t, s.Skipped(now.Add(test.age), "a", choice.Request{}), test.passedOver)
+			assert.Equal(t, s.Skipped(now.Add(test.age), "a", choice.Request{}), test.skipped)
 		})
 	}
 }
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -6,173 +6,173 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// Costs: 1 is a server all of whose slots are in use.
+// Costs; 1 is a server all of whose slots are in use.
 const (
-	// remoteCost keeps requests in their own data centre until its servers are
-	// that much fuller than others, since bytes between data centres are paid
-	// for: a request leaves once it would wait for about one service time more.
-	// remoteByteCost is added for each expected byte of the request and its
-	// answer, up to mostRemoteCost, so that small requests leave the near slots
-	// to large ones.
+	// remoteCost keeps requests in their own data centre until its servers are that much
+	// fuller than others, since traffic between data centres is paid for: a request goes
+	// elsewhere if it would wait for about one service time longer here. remoteByteCost is
+	// added for each expected byte of the request and its answer, up to maxRemoteCost in
+	// total, so that small requests leave the local slots to large ones.
 	remoteCost     = 1.0
 	remoteByteCost = 0.25 / 1024
-	mostRemoteCost = 4.0
-	// sickCost stands for a sickness that was told a moment ago.
-	sickCost = 3.0
-	// sickRelief is the share of sickCost that a sick server is spared if it
-	// still answers every request well; it shrinks with the share of successes.
-	sickRelief = 0.5
-	// trialShare is the share of the requests that may be trials which go first to a
-	// server that waits for one. Without any such request a sick server that all processes
-	// hear of is not tried while others have room (TestSickServerIsHeardOf).
+	maxRemoteCost  = 4.0
+	// unhealthyCost is added for a server that was recently reported unhealthy.
+	unhealthyCost = 3.0
+	// successDiscount is the share of unhealthyCost that is deducted if the unhealthy server
+	// still answers all requests well; it is scaled by its share of successes.
+	successDiscount = 0.5
+	// trialShare is the share of the requests eligible as trials that go first to a server
+	// that waits for one. Without it, an unhealthy server that all processes know to be
+	// unhealthy gets no trial as long as others have room.
 	trialShare = 0.3
-	// suspectCost is added for each unit of suspicion up to mostSuspicion. What was
-	// told is mostly old; the process beside the server knows better (Ask.Bears).
-	suspectCost   = 0.1
-	mostSuspicion = 5.0
-	// shedCost stands for a server that rejects every request.
+	// suspicionCost is added for each unit of suspicion up to maxSuspicion. A reported
+	// suspicion is mostly outdated; the sidecar decides by the current one
+	// (Constraints.MaxSuspicion).
+	suspicionCost = 0.1
+	maxSuspicion  = 5.0
+	// shedCost is added for a server that rejects every request, and in proportion otherwise.
 	shedCost = 1.5
-	// silentCost stands for a process that did not reply.
-	silentCost = 10.0
-	// warmingCost stands for a server that has just started and is slow.
+	// noReplyCost is added for a server whose sidecar did not reply.
+	noReplyCost = 10.0
+	// warmingCost is added for a server that has just started and is slow.
 	warmingCost = 0.5
-	// quietCost stands for a server without a recent success, for requests that
-	// must not be trials.
-	quietCost = 0.2
-	// jitter separates equals, so that many ingresses do not choose the same.
+	// noSuccessCost is added for a server without a recent success, for requests that are
+	// Careful or Scarce.
+	noSuccessCost = 0.2
+	// jitter is a random cost, so that many ingresses do not choose the same among equals.
 	jitter = 0.15
 )
 
 const (
-	// sickMemory is how long a told sickness counts for requests that may be
-	// trials, and sickMemoryCareful for the others.
-	sickMemory        = 600 * time.Millisecond
-	sickMemoryCareful = 2 * time.Second
-	// loadMemory is how long a told load counts.
-	loadMemory = 1500 * time.Millisecond
-	// shedMemory is how long a told share of rejections counts.
-	shedMemory = 2 * time.Second
-	// recentSuccess is how old a success may be that makes a server trusted.
-	recentSuccess = 700 * time.Millisecond
-	// firstSilence and maxSilence bound how long a silent process is avoided.
-	firstSilence = 500 * time.Millisecond
-	maxSilence   = 3 * time.Second
-	// sickPause is the least time before a careful request asks a sick server
-	// again. fullPause and mostFullPause bound that for any request and a full
-	// one: half of the time after which it is likely to have a slot. Asking all of
-	// them over and over fills the network just when all are full.
-	sickPause     = 300 * time.Millisecond
-	fullPause     = 60 * time.Millisecond
-	mostFullPause = 300 * time.Millisecond
-	// spentPause is that before an extra attempt asks a server that may get none.
+	// unhealthyTTL is how long a reported unhealthy state counts, unhealthyTTLCareful how
+	// long for Careful requests.
+	unhealthyTTL        = 600 * time.Millisecond
+	unhealthyTTLCareful = 2 * time.Second
+	// loadTTL is how long a reported load counts.
+	loadTTL = 1500 * time.Millisecond
+	// shedTTL is how long a reported share of rejections counts.
+	shedTTL = 2 * time.Second
+	// successTTL is how long a success exempts a server from noSuccessCost.
+	successTTL = 700 * time.Millisecond
+	// minAvoid and maxAvoid bound how long a sidecar that did not reply is avoided.
+	minAvoid = 500 * time.Millisecond
+	maxAvoid = 3 * time.Second
+	// unhealthyPause is the least time before a Careful request asks an unhealthy server
+	// again. Any request asks a full server again after half of the time until it probably
+	// has a slot, bounded by minFullPause and maxFullPause: repeated requests to all servers
+	// would saturate the network exactly when all are full.
+	unhealthyPause = 300 * time.Millisecond
+	minFullPause   = 60 * time.Millisecond
+	maxFullPause   = 300 * time.Millisecond
+	// spentPause is the pause before an extra attempt asks a server whose budget was spent.
 	spentPause = 250 * time.Millisecond
-	// lastResortPause is that before a request without a better choice makes
-	// itself the trial of a sick server.
+	// lastResortPause is the pause before a request without a better choice becomes a trial
+	// of an unhealthy server.
 	lastResortPause = 100 * time.Millisecond
-	// goneMemory is how long a server is avoided at whose address another runs.
-	goneMemory = 3 * time.Second
+	// movedAvoid is how long a server is avoided at whose address another service runs.
+	movedAvoid = 3 * time.Second
 )
 
-// passedOver returns why a server is not asked for a slot now.
-func (server *Server) passedOver(now time.Time, want Request) Disposition {
-	age := now.Sub(server.toldAt)
+// skipReason returns why a server must not be asked for a slot now.
+func (server *Server) skipReason(now time.Time, request Request) Disposition {
+	age := now.Sub(server.statusAt)
 	switch {
-	case server.Leaving, server.told.Leaving && age < loadMemory:
+	case server.Leaving, server.status.Leaving && age < loadTTL:
 		return DispositionLeaving
-	case server.told.Stopping && age < min(server.told.BackIn, mostFullPause):
+	case server.status.Stopping && age < min(server.status.BackIn, maxFullPause):
 		return DispositionStopping
-	case server.told.Full && age < server.told.pause():
+	case server.status.Full && age < server.status.pause():
 		return DispositionFull
-	case want.Extra && server.told.Spent && age < spentPause:
+	case request.Extra && server.status.Spent && age < spentPause:
 		return DispositionSpent
-	case server.told.Unhealthy && !server.trialDue(now, want):
+	case server.status.Unhealthy && !server.trialDue(now, request):
 		return DispositionSick
 	}
 	return DispositionNone
 }
 
-// trialDue reports whether a sick server may be asked.
-func (server *Server) trialDue(now time.Time, want Request) bool {
-	age := now.Sub(server.toldAt)
+// trialDue reports whether an unhealthy server may be asked.
+func (server *Server) trialDue(now time.Time, request Request) bool {
+	age := now.Sub(server.statusAt)
 	switch {
-	case want.LastResort:
-		return server.told.SuccessShare >= breaker.MinUsefulShare || age >= sickPause || !want.RiskAverse() && age >= lastResortPause
-	case want.Careful:
-		return age >= max(server.told.TrialIn, sickPause)
-	case want.Scarce:
+	case request.LastResort:
+		return server.status.SuccessShare >= breaker.MinUsefulShare || age >= unhealthyPause || !request.RiskAverse() && age >= lastResortPause
+	case request.Careful:
+		return age >= max(server.status.TrialIn, unhealthyPause)
+	case request.Scarce:
 		return server.trialOverdue(now)
 	}
-	return age >= server.told.TrialIn
+	return age >= server.status.TrialIn
 }
 
-// trialOverdue reports whether a trial of a sick server should have been made a while ago.
+// trialOverdue reports whether a trial has been due for breaker.TrialOverdue.
 func (server *Server) trialOverdue(now time.Time) bool {
 	return now.Sub(server.trialAt) >= breaker.TrialOverdue
 }
 
-// pause returns how long a server that was full is not asked again.
+// pause returns how long a full server is not asked again.
 func (t *Status) pause() time.Duration {
-	return min(max(t.SlotIn/2, fullPause), mostFullPause)
+	return min(max(t.SlotIn/2, minFullPause), maxFullPause)
 }
 
-// cost returns a server's cost without the random part.
-func (s *Service) cost(now time.Time, server *Server, want Request) float64 {
+// cost returns the cost of a server without jitter.
+func (s *Service) cost(now time.Time, server *Server, request Request) float64 {
 	cost := server.occupancy(now)
 	if server.DataCentre != s.dataCentre {
-		cost += min(remoteCost+remoteByteCost*want.Bytes, mostRemoteCost)
+		cost += min(remoteCost+remoteByteCost*request.Bytes, maxRemoteCost)
 	}
-	if now.Sub(server.toldAt) < shedMemory {
-		cost += shedCost * server.told.ShedShare
+	if now.Sub(server.statusAt) < shedTTL {
+		cost += shedCost * server.status.ShedShare
 	}
-	if now.Before(server.avoid) {
-		cost += silentCost
+	if now.Before(server.avoidUntil) {
+		cost += noReplyCost
 	}
 	if now.Before(server.warmUntil) {
 		cost += warmingCost
 	}
-	cost += server.sickness(now, want)
-	if now.Sub(server.toldAt) < loadMemory {
-		cost += suspectCost * min(server.told.Suspicion, mostSuspicion)
+	cost += server.healthCost(now, request)
+	if now.Sub(server.statusAt) < loadTTL {
+		cost += suspicionCost * min(server.status.Suspicion, maxSuspicion)
 	}
-	if want.RiskAverse() && now.Sub(server.success) > recentSuccess {
-		cost += quietCost
+	if request.RiskAverse() && now.Sub(server.lastSuccess) > successTTL {
+		cost += noSuccessCost
 	}
 	return cost
 }
 
-// sickness is what a told sickness adds to a server's cost.
-func (server *Server) sickness(now time.Time, want Request) float64 {
-	memory := sickMemory
-	if want.Careful {
-		memory = sickMemoryCareful
+// healthCost returns the cost of a reported unhealthy state.
+func (server *Server) healthCost(now time.Time, request Request) float64 {
+	ttl := unhealthyTTL
+	if request.Careful {
+		ttl = unhealthyTTLCareful
 	}
-	if !server.told.Unhealthy || now.Sub(server.toldAt) >= memory {
+	if !server.status.Unhealthy || now.Sub(server.statusAt) >= ttl {
 		return 0
 	}
-	return sickCost * (1 - sickRelief*server.told.SuccessShare)
+	return unhealthyCost * (1 - successDiscount*server.status.SuccessShare)
 }
 
-// trialRelief is what is taken off the cost of a server that waits for a trial, for some
-// of the requests that may be one. All processes near it hear that it waits, and a few
-// requests are enough.
-func (s *Service) trialRelief(now time.Time, server *Server, want Request) float64 {
-	due := server.told.TrialDue && (!want.Scarce || server.trialOverdue(now))
-	if want.Careful || !due || s.random.Float64() >= trialShare {
+// trialDiscount returns what is deducted from the cost of a server that waits for a trial, for
+// a random share of the requests eligible as one: all processes in its data centre know that
+// it waits, and a few requests are enough.
+func (s *Service) trialDiscount(now time.Time, server *Server, request Request) float64 {
+	due := server.status.TrialDue && (!request.Scarce || server.trialOverdue(now))
+	if request.Careful || !due || s.random.Float64() >= trialShare {
 		return 0
 	}
-	return server.sickness(now, want)
+	return server.healthCost(now, request)
 }
 
-// heardLately reports whether what was told of the server still counts.
-func (server *Server) heardLately(now time.Time) bool {
-	return now.Sub(server.toldAt) <= loadMemory
+// hasRecentStatus reports whether the status of the server still counts.
+func (server *Server) hasRecentStatus(now time.Time) bool {
+	return now.Sub(server.statusAt) <= loadTTL
 }
 
-// occupancy is how full the server is, as a share of its slots.
+// occupancy returns the requests at the server as a share of its slots.
 func (server *Server) occupancy(now time.Time) float64 {
-	slots := max(float64(server.Slots), server.told.Slots, 1)
-	if !server.heardLately(now) {
+	slots := max(float64(server.Slots), server.status.Slots, 1)
+	if !server.hasRecentStatus(now) {
 		return float64(server.inFlight) / slots
 	}
-	return (server.told.Load + float64(server.sentSince)) / slots
+	return (server.status.Load + float64(server.sentSince)) / slots
 }
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -1,43 +1,43 @@
 package choice
 
-// unseen is how many well servers are taken for granted before any was heard of. After
-// three sick ones in a row a server in another data centre is cheaper than a fourth.
-const unseen = 4.0
+// priorHealthy is the number of healthy replies assumed before the first reply. With it, after
+// three consecutive unhealthy servers one in another data centre is cheaper than a fourth.
+const priorHealthy = 4.0
 
-// shareOf returns the share of servers that are expected to be sick where so many of those
-// that were heard of are.
-func shareOf(sick, heard int) float64 {
-	return float64(sick) / (float64(heard) + unseen)
+// unhealthyShareOf estimates the share of unhealthy servers from the number of unhealthy ones
+// among those that replied.
+func unhealthyShareOf(unhealthy, replied int) float64 {
+	return float64(unhealthy) / (float64(replied) + priorHealthy)
 }
 
-// group is a part of the servers that a search may still ask.
+// group identifies the servers of one data centre with or without a recent status.
 type group struct {
 	dataCentre string
-	unheard    bool
+	stale      bool
 }
 
-// part is what is left of a group, cheapest first.
+// part holds the remaining servers of a group, cheapest first.
 type part struct {
 	group
 	left []Candidate
 }
 
-// Queue holds the servers that a search may still ask, cheapest first. What the search
-// hears of those of a data centre says something of the others there that it has no word
-// of: faults often befall a whole data centre, and many servers at once.
+// Queue holds the servers that a search may still ask, cheapest first. The replies of servers
+// of a data centre adjust the costs of those there without a recent status: faults often hit a
+// whole data centre, and many servers at once.
 type Queue struct {
-	// parts are few: two for each data centre.
+	// parts has at most two entries for each data centre.
 	parts []part
-	// asked counts, by data centre, the servers that replied, and sick those of them that
-	// were sick.
-	asked, sick map[string]int
+	// replied counts the servers that replied, by data centre, and unhealthy those of them that
+	// were unhealthy.
+	replied, unhealthy map[string]int
 }
 
 // NewQueue returns an empty queue.
-func NewQueue() *Queue { return &Queue{asked: map[string]int{}, sick: map[string]int{}} }
+func NewQueue() *Queue { return &Queue{replied: map[string]int{}, unhealthy: map[string]int{}} }
 
-// Fill puts servers into the queue in place of those that are left; they come cheapest
-// first. What was heard stays.
+// Fill replaces the remaining servers by the given ones, which are sorted by cost. The counts
+// of replies stay.
 func (q *Queue) Fill(servers []Candidate) {
 	q.parts = q.parts[:0]
 	var counts []int
@@ -50,7 +50,7 @@
 		counts[p]++
 		of[i] = int32(p)
 	}
-	// All parts share one array: each has as many places in it as it has servers.
+	// All parts share one array, in which each has the capacity for its servers.
 	all := make([]Candidate, len(servers))
 	for p, count := range counts {
 		q.parts[p].left, all = all[:0:count], all[count:]
@@ -61,7 +61,7 @@
 	}
 }
 
-// partOf returns the number of a server's part, which is made where it is new.
+// partOf returns the index of a server's part, which is added if it does not exist.
 func (q *Queue) partOf(server *Candidate) int {
 	g := group{server.DataCentre, server.Stale}
 	for i := range q.parts {
@@ -73,7 +73,7 @@
 	return len(q.parts) - 1
 }
 
-// Len returns how many servers are left.
+// Len returns the number of remaining servers.
 func (q *Queue) Len() int {
 	n := 0
 	for i := range q.parts {
@@ -82,22 +82,22 @@
 	return n
 }
 
-// Replied notes the reply of a server's process.
-func (q *Queue) Replied(dataCentre string, sick bool) {
-	q.asked[dataCentre]++
-	if sick {
-		q.sick[dataCentre]++
+// Replied counts a reply of the sidecar of a server in a data centre.
+func (q *Queue) Replied(dataCentre string, unhealthy bool) {
+	q.replied[dataCentre]++
+	if unhealthy {
+		q.unhealthy[dataCentre]++
 	}
 }
 
-// Next returns the cheapest server that is left, with its cost by what was heard, or
-// reports that there is none.
+// Next returns the cheapest remaining server, with its cost adjusted by the replies so far; ok
+// is false if there is none.
 func (q *Queue) Next() (next Candidate, ok bool) {
 	next, at := q.cheapest()
 	return next, at >= 0
 }
 
-// cheapest returns the cheapest server and the number of its part, or -1.
+// cheapest returns the cheapest server and the index of its part, or -1.
 func (q *Queue) cheapest() (next Candidate, at int) {
 	at = -1
 	for i := range q.parts {
@@ -114,7 +114,7 @@
 	return next, at
 }
 
-// Take removes the server that Next returns and returns it.
+// Take removes and returns the server that Next returns.
 func (q *Queue) Take() (next Candidate, ok bool) {
 	next, at := q.cheapest()
 	if at < 0 {
@@ -124,11 +124,11 @@
 	return next, true
 }
 
-// surcharge is the cost of a sickness times the share of servers that are expected to be
-// sick, for those of which nothing was heard.
+// surcharge returns the cost added to the servers of a group: for those without a recent
+// status, the cost of an unhealthy server times the estimated share of these.
 func (q *Queue) surcharge(g group) float64 {
-	if !g.unheard {
+	if !g.stale {
 		return 0
 	}
-	return sickCost * shareOf(q.sick[g.dataCentre], q.asked[g.dataCentre])
+	return unhealthyCost * unhealthyShareOf(q.unhealthy[g.dataCentre], q.replied[g.dataCentre])
 }
--- a/choice/queue_test.go
+++ b/choice/queue_test.go
@@ -10,12 +10,12 @@
 	"slatewind.example/slatewind/choice"
 )
 
-// TestQueueAsksWhoWasHeardOf: a server that was heard of goes first where many of the
-// others of its data centre are sick.
-func TestQueueAsksWhoWasHeardOf(t *testing.T) {
+// TestQueuePrefersRecentStatus checks that a server with a recent status goes first if many
+// others of its data centre are unhealthy.
+func TestQueuePrefersRecentStatus(t *testing.T) {
 	q := choice.NewQueue()
-	server := func(name string, cost float64, unheard bool) choice.Candidate {
-		return choice.Candidate{ServerEntry: &slatewind.ServerEntry{Name: name, DataCentre: "near"}, Cost: cost, Stale: unheard}
+	server := func(name string, cost float64, stale bool) choice.Candidate {
+		return choice.Candidate{ServerEntry: &slatewind.ServerEntry{Name: name, DataCentre: "near"}, Cost: cost, Stale: stale}
 	}
 	q.Fill([]choice.Candidate{server("idle-1", 0, true), server("idle-2", 0, true), server("busy", 0.8, false)})
 	q.Replied("near", true)
@@ -24,18 +24,18 @@
 	assert.Equal(t, first.Name, "busy")
 }
 
-// TestQueue states in which order a search asks five servers near and two far, which
-// cost one more, by what it hears of the first.
+// TestQueue checks in which order a search asks five near servers and two far ones, which cost
+// one more, by the health of the first servers asked.
 func TestQueue(t *testing.T) {
 	tests := map[string]struct {
-		// sick says how many of the near servers, from the first, are sick.
-		sick int
-		want string
+		// unhealthy is how many of the near servers, from the first, are unhealthy.
+		unhealthy int
+		want      string
 	}{
-		"all are well":                   {0, "near-0 near-1 near-2 near-3 near-4 far-0 far-1"},
-		"two that are sick are borne":    {2, "near-0 near-1 near-2 near-3 near-4 far-0 far-1"},
-		"three say something of a place": {3, "near-0 near-1 near-2 far-0 far-1 near-3 near-4"},
-		"many do":                        {5, "near-0 near-1 near-2 far-0 far-1 near-3 near-4"},
+		"all are healthy":                    {0, "near-0 near-1 near-2 near-3 near-4 far-0 far-1"},
+		"two unhealthy ones do not matter":   {2, "near-0 near-1 near-2 near-3 near-4 far-0 far-1"},
+		"three raise the cost of the others": {3, "near-0 near-1 near-2 far-0 far-1 near-3 near-4"},
+		"all near ones are unhealthy":        {5, "near-0 near-1 near-2 far-0 far-1 near-3 near-4"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,11 +60,11 @@
 				server, ok := q.Take()
 				assert.Assert(t, ok)
 				got += " " + server.Name
-				sick := server.DataCentre == "near" && near < test.sick
+				unhealthy := server.DataCentre == "near" && near < test.unhealthy
 				if server.DataCentre == "near" {
 					near++
 				}
-				q.Replied(server.DataCentre, sick)
+				q.Replied(server.DataCentre, unhealthy)
 			}
 			assert.Equal(t, got, " "+test.want)
 			_, ok := q.Take()
--- a/choice/sharer_test.go
+++ b/choice/sharer_test.go
@@ -12,8 +12,8 @@
 	"slatewind.example/slatewind/retry"
 )
 
-// TestSharer: the servers of a service have each rank once, in whatever order they came to
-// be known; one that is not known has none, and a change moves others by one.
+// TestSharer checks that each rank is held by one server of a service, in whatever order they
+// were added, that an unknown server has none, and that a removal moves others by at most one.
 func TestSharer(t *testing.T) {
 	const servers = 20
 	entry := func(i int) slatewind.ServerEntry {
--- a/choice/survey.go
+++ b/choice/survey.go
@@ -7,60 +7,60 @@
 	"time"
 )
 
-// Disposition says why a server is not asked for a slot.
+// Disposition is the result for one server in a search for a slot.
 type Disposition string
 
-// Causes for which a server is passed over. DispositionNone is the empty word.
+// Reasons for skipping a server. DispositionNone means that it is not skipped.
 const (
 	DispositionNone    Disposition = ""
 	DispositionLeaving Disposition = "leaving"
-	// DispositionStopping servers are well, but the process beside them is about to end.
+	// DispositionStopping: the server is healthy, but its sidecar is about to stop.
 	DispositionStopping Disposition = "stopping"
 	DispositionFull     Disposition = "full"
 	DispositionSick     Disposition = "sick"
-	// DispositionSpent servers may get no extra arrival just then.
+	// DispositionSpent: the server's budget of extra attempts is spent for now.
 	DispositionSpent Disposition = "spent"
 )
 
-// Words for servers that are not passed over.
+// Results for servers that are not skipped, and dispositionReportedLeaving.
 const (
-	beliefAsked  Disposition = "asked"
-	beliefTried  Disposition = "tried"
-	beliefSilent Disposition = "silent"
-	beliefLeft   Disposition = "left"
-	// beliefToldLeaving is PassLeaving by the word of the process beside the server, not
-	// by its entry.
-	beliefToldLeaving Disposition = "told-leaving"
+	dispositionAsked  Disposition = "asked"
+	dispositionTried  Disposition = "tried"
+	dispositionSilent Disposition = "silent"
+	dispositionLeft   Disposition = "left"
+	// dispositionReportedLeaving is DispositionLeaving as reported by the sidecar, not by the
+	// entry of the server.
+	dispositionReportedLeaving Disposition = "told-leaving"
 )
 
-// Survey counts the servers of a service at the end of a search, for operators: how
-// many are known, how many of them were asked, and why the others were not.
+// Survey counts the servers of a service at the end of a search, for operators: how many are
+// known, how many of them were asked, and why the others were not.
 type Survey struct {
 	Known, Asked      int
 	Leaving, Stopping int
 	Full, Sick, Spent int
-	// Silent are asked last: their processes did not reply.
+	// Silent servers are asked last: their sidecars did not reply.
 	Silent int
-	// Tried have seen the request.
+	// Tried servers have received the request.
 	Tried int
-	// Left could have been asked, but the search ended before.
+	// Left servers could have been asked, but the search ended before.
 	Left int
-	// Beliefs says the same of each server; it is empty where only counts were asked for.
+	// Beliefs holds the same for each server; it is empty if only counts were requested.
 	Beliefs []Belief
 }
 
-// Belief is what an ingress believes of one server at the end of a search.
+// Belief is what an ingress knows of one server at the end of a search.
 type Belief struct {
 	Server string
-	// Disposition says whether the server was asked, or else why not.
+	// Disposition is whether the server was asked, or else why not.
 	Disposition Disposition
-	// Known is how long the ingress has known of the server, Reported how long ago its
-	// process last told of it, and Asked how long ago the ingress last asked it for a slot.
-	// What never happened is negative.
+	// Known is how long the ingress has known the server, Reported the age of its newest
+	// status, and Asked the time since the ingress last asked it for a slot. A negative value
+	// means never.
 	Known, Reported, Asked time.Duration
 }
 
-// String returns the belief in one word; its times are in seconds.
+// String returns the belief as one word; its times are in seconds.
 func (b Belief) String() string {
 	return fmt.Sprintf("%s:%s/%.1f/%.1f/%.1f", b.Server, b.Disposition, b.Known.Seconds(), b.Reported.Seconds(), b.Asked.Seconds())
 }
@@ -71,28 +71,28 @@
 		s.Known, s.Asked, s.Leaving, s.Stopping, s.Full, s.Sick, s.Spent, s.Silent, s.Tried, s.Left) + s.beliefs()
 }
 
-// beliefs returns the beliefs as one pair.
+// beliefs returns the beliefs as one key=value pair.
 func (s Survey) beliefs() string {
 	if len(s.Beliefs) == 0 {
 		return ""
 	}
-	words := make([]string, 0, len(s.Beliefs))
+	texts := make([]string, 0, len(s.Beliefs))
 	for _, belief := range s.Beliefs {
-		words = append(words, belief.String())
+		texts = append(texts, belief.String())
 	}
-	return " beliefs=" + strings.Join(words, ",")
+	return " beliefs=" + strings.Join(texts, ",")
 }
 
-// Survey counts the servers for a request that asked some and was sent to others. With
-// detail it also says what is believed of each.
-func (s *Service) Survey(now time.Time, want Request, asked, tried map[string]bool, detail bool) Survey {
+// Survey counts the servers for a request that asked some and was sent to others (tried). With
+// detail it also fills Beliefs.
+func (s *Service) Survey(now time.Time, request Request, asked, tried map[string]bool, detail bool) Survey {
 	survey := Survey{Known: len(s.servers)}
 	for _, server := range s.servers {
-		word := server.word(now, want, asked[server.Name], tried[server.Name])
-		survey.count(word)
+		disposition := server.disposition(now, request, asked[server.Name], tried[server.Name])
+		survey.count(disposition)
 		if detail {
 			survey.Beliefs = append(survey.Beliefs, Belief{
-				Server: server.Name, Disposition: word, Known: since(now, server.knownAt), Reported: since(now, server.toldAt), Asked: since(now, server.askedAt),
+				Server: server.Name, Disposition: disposition, Known: since(now, server.knownAt), Reported: since(now, server.statusAt), Asked: since(now, server.askedAt),
 			})
 		}
 	}
@@ -100,7 +100,7 @@
 	return survey
 }
 
-// since returns how long ago something happened, or a negative time where it never did.
+// since returns the time since then, or a negative value if it is zero.
 func since(now, then time.Time) time.Duration {
 	if then.IsZero() {
 		return -time.Second
@@ -108,34 +108,34 @@
 	return now.Sub(then)
 }
 
-// word says in one word what became of a server in a search.
-func (server *Server) word(now time.Time, want Request, asked, tried bool) Disposition {
+// disposition returns the result for a server in a search.
+func (server *Server) disposition(now time.Time, request Request, asked, tried bool) Disposition {
 	switch {
 	case tried:
-		return beliefTried
+		return dispositionTried
 	case asked:
-		return beliefAsked
+		return dispositionAsked
 	}
-	switch pass := server.passedOver(now, want); {
-	case pass == DispositionLeaving && !server.Leaving:
-		return beliefToldLeaving
-	case pass != DispositionNone:
-		return pass
+	switch reason := server.skipReason(now, request); {
+	case reason == DispositionLeaving && !server.Leaving:
+		return dispositionReportedLeaving
+	case reason != DispositionNone:
+		return reason
 	}
-	if now.Before(server.avoid) {
-		return beliefSilent
+	if now.Before(server.avoidUntil) {
+		return dispositionSilent
 	}
-	return beliefLeft
+	return dispositionLeft
 }
 
-// count counts a server by its word.
-func (s *Survey) count(word Disposition) {
-	switch word {
-	case beliefTried:
+// count counts a server by its disposition.
+func (s *Survey) count(disposition Disposition) {
+	switch disposition {
+	case dispositionTried:
 		s.Tried++
-	case beliefAsked:
+	case dispositionAsked:
 		s.Asked++
-	case DispositionLeaving, beliefToldLeaving:
+	case DispositionLeaving, dispositionReportedLeaving:
 		s.Leaving++
 	case DispositionStopping:
 		s.Stopping++
@@ -145,7 +145,7 @@
 		s.Sick++
 	case DispositionSpent:
 		s.Spent++
-	case beliefSilent:
+	case dispositionSilent:
 		s.Silent++
 	default:
 		s.Left++
--- a/choice/view.go
+++ b/choice/view.go
@@ -17,13 +17,13 @@
 	InFlight int     `json:"in_flight"`
 }
 
-// Views returns the servers for a state dump, by name.
+// Views returns the servers for a state dump, sorted by name.
 func (s *Service) Views(now time.Time) []View {
 	views := make([]View, 0, len(s.servers))
 	for _, server := range s.servers {
 		views = append(views, View{
 			ServerEntry: *server.ServerEntry, Cost: s.cost(now, server, Request{Constraints: breaker.Constraints{Careful: true}}),
-			Load: server.told.Load, Sick: server.told.Unhealthy, InFlight: server.inFlight,
+			Load: server.status.Load, Sick: server.status.Unhealthy, InFlight: server.inFlight,
 		})
 	}
 	sort.Slice(views, func(i, j int) bool { return views[i].Name < views[j].Name })
--- a/overload/ablation_test.go
+++ b/overload/ablation_test.go
@@ -63,31 +63,31 @@
 		{File: costFile, From: "remoteCost     = 1.0", To: "remoteCost     = 0.0"},
 	},
 	"cost of sickness": {
-		{File: costFile, From: "sickCost = 3.0", To: "sickCost = 0.0"},
+		{File: costFile, From: "unhealthyCost = 3.0", To: "unhealthyCost = 0.0"},
 	},
 	"sick passed over": {
-		{File: costFile, From: "case server.told.Unhealthy && !server.trialDue(now, want):", To: "case false:"},
+		{File: costFile, From: "case server.status.Unhealthy && !server.trialDue(now, request):", To: "case false:"},
 	},
 	"full passed over": {
-		{File: costFile, From: "case server.told.Full && age < server.told.pause():", To: "case false:"},
+		{File: costFile, From: "case server.status.Full && age < server.status.pause():", To: "case false:"},
 	},
 	"spent passed over": {
-		{File: costFile, From: "case want.Extra && server.told.Spent && age < spentPause:", To: "case false:"},
+		{File: costFile, From: "case request.Extra && server.status.Spent && age < spentPause:", To: "case false:"},
 	},
 	"cost of suspicion": {
-		{File: costFile, From: "suspectCost   = 0.1", To: "suspectCost   = 0.0"},
+		{File: costFile, From: "suspicionCost = 0.1", To: "suspicionCost = 0.0"},
 	},
 	"cost of rejections": {
 		{File: costFile, From: "shedCost = 1.5", To: "shedCost = 0.0"},
 	},
 	"cost of silence": {
-		{File: costFile, From: "silentCost = 10.0", To: "silentCost = 0.0"},
+		{File: costFile, From: "noReplyCost = 10.0", To: "noReplyCost = 0.0"},
 	},
 	"cost of quiet": {
-		{File: costFile, From: "quietCost = 0.2", To: "quietCost = 0.0"},
+		{File: costFile, From: "noSuccessCost = 0.2", To: "noSuccessCost = 0.0"},
 	},
 	"sick share of unheard": {
-		{File: queueFile, From: "return float64(sick) / (", To: "return 0 / ("},
+		{File: queueFile, From: "return float64(unhealthy) / (", To: "return 0 / ("},
 	},
 	"queue at three": {
 		{File: searchFile, From: "maxQueued = 3", To: "maxQueued = 1"},
