--- a/search/bench_test.go
+++ b/search/bench_test.go
@@ -13,11 +13,11 @@
 	"slatewind.example/slatewind/search"
 )
 
-// BenchmarkFirstQuestion gives what a request costs up to its first question to a server, among
-// 73, 178 and 1,900 servers: 42, 97 and 1,291 us and 86, 183 and 1,744 KB allocated when each
-// candidate held a copy of its server's entry and lists grew as they were filled; 16, 40 and
-// 515 us and 7, 18 and 173 KB since.
-func BenchmarkFirstQuestion(b *testing.B) {
+// BenchmarkFirstReservation measures a search up to its first reservation among 73, 178 and 1,900
+// servers. It took 16, 40 and 515 us and 7, 18 and 173 KB of allocations with shared server
+// entries and lists of preallocated size, against 42, 97 and 1,291 us and 86, 183 and 1,744 KB
+// with an entry copied for each candidate and growing lists.
+func BenchmarkFirstReservation(b *testing.B) {
 	for _, servers := range []int{73, 178, 1900} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
--- a/search/search.go
+++ b/search/search.go
@@ -1,15 +1,15 @@
-// Package search decides about one request's look for a slot: which server is asked next,
-// at how many the request waits, when further ones are asked and when it gives up.
+// Package search implements the search of one request for a slot: which server is asked next,
+// at how many servers the request waits, when further ones are asked and when it gives up.
 //
-// Load decides its shape. Without load the cheapest server grants the first question. When
-// slots are short, questions are what an overloaded fleet drowns in, so that a request waits
-// at a few servers and asks others only when it has waited in vain for a while. When many
-// servers are sick, the look goes on past them, but ends soon where it is for an extra
-// attempt that the bound on these does not allow. Whatever cannot be served is refused as
-// soon as that is known.
+// Load determines how a search proceeds. Without load the cheapest server grants the first
+// reservation. If slots are short, too many reservations would saturate the network, so a
+// request waits at a few servers and asks others only after it has waited in vain for a while.
+// If many servers are unhealthy, the search passes over them; a search for an extra attempt
+// ends early if the budget of extra attempts denies it. A request that cannot be served is
+// refused as soon as that is known.
 //
-// A Search has no clock, input or output: its host makes the reservations, passes replies
-// on, and asks a server for each "more" that it returns.
+// A Search has no clock, input or output: its owner makes the reservations, reports the
+// replies, and calls Next whenever a method returns more.
 package search
 
 import (
@@ -23,221 +23,221 @@
 )
 
 const (
-	// ReplyOverdueAfter is how long a reservation may stay without any reply before the next
-	// server is asked as well. A reply takes a round trip, some 3 ms between data centres,
-	// and a busy process some ten more.
+	// ReplyOverdueAfter is the time without any reply to a reservation after which the next
+	// server is asked too. A reply takes a round trip, some 3 ms between data centres, and a
+	// busy process takes some 10 ms more.
 	ReplyOverdueAfter = 40 * time.Millisecond
-	// avoidAfter is how long a process must have been silent to be avoided.
-	avoidAfter = 120 * time.Millisecond
-	// maxQueued is at how many servers a request waits at once. It takes the first slot,
-	// and the others go to the next in their queues.
+	// unresponsiveAfter is the time without any reply after which a sidecar is avoided.
+	unresponsiveAfter = 120 * time.Millisecond
+	// maxQueued is at how many servers a request waits at once. It takes the first slot; the
+	// other slots go to the next requests in their queues.
 	maxQueued = 3
-	// waitGap is how much dearer, in full servers, a further place in a queue may be than
-	// those that the request has: near places are tried before one that costs bytes
-	// between data centres.
+	// waitGap is how much higher, in full servers, the cost of a further queue may be than that
+	// of the queues that the request waits in: nearby servers are tried before one that causes
+	// traffic between data centres.
 	waitGap = 0.75
-	// widenShare is the share of its objective that a request waits at these before it
-	// asks as many others. The first ones are mostly near: a short wait there is cheaper
-	// than bytes between data centres.
+	// widenShare is the share of its objective that a request waits at these servers before it
+	// asks as many others. The first ones are mostly near: a short wait there is cheaper than
+	// traffic between data centres.
 	widenShare = 0.15
-	// firstPause is the pause before the servers are asked anew; it doubles up to
-	// maxPause, since questions fill the network under overload.
-	firstPause = 20 * time.Millisecond
-	maxPause   = 80 * time.Millisecond
+	// minRoundPause is the first pause between rounds. It doubles up to maxRoundPause, since
+	// reservations saturate the network under overload.
+	minRoundPause = 20 * time.Millisecond
+	maxRoundPause = 80 * time.Millisecond
 )
 
 const (
-	// leastBears is how much suspicion of a server a request bears although others cost
-	// the same. A busy healthy server shows as much in every other moment.
-	leastBears = 0.7
-	// bearsPerCost is how much more it bears for each full server that the next choice is
-	// dearer by: a near server that is perhaps silent is borne before the bytes of a far
-	// one are paid for.
-	bearsPerCost = 3.0
-	// mostBears bounds it: beyond, most servers that are so silent hang, and each request
-	// that they take holds one of their slots until its time is over.
-	mostBears = 2.5
+	// baseSuspicion is the suspicion of a server that a request accepts even if others cost the
+	// same. A busy healthy server exceeds it half of the time.
+	baseSuspicion = 0.7
+	// suspicionPerCost is the additional suspicion accepted for each full server by which the
+	// next choice is more expensive: a near server that may hang is preferred to paying for
+	// traffic to a far one.
+	suspicionPerCost = 3.0
+	// maxSuspicion bounds the accepted suspicion: most servers above it hang, and each request
+	// sent to them holds one of their slots until its deadline.
+	maxSuspicion = 2.5
 )
 
-// Request is what a search needs to know of its request.
+// Request describes the request that needs a slot.
 type Request struct {
-	// Rank is the request's, lower goes first.
+	// Rank is the rank of the request; lower ranks go first.
 	Rank uint32
-	// Constraints says what it may do to servers that look sick.
+	// Constraints restrict the servers to which it may go, by their health.
 	Constraints breaker.Constraints
-	// Extra says that a server has seen the request before, or may see it; Scarce that
-	// such an attempt was denied a short time ago.
+	// Extra reports that a server has received the request before, or may have. Scarce reports
+	// that such an extra attempt was denied shortly before.
 	Extra, Scarce bool
-	// Tried are the servers that have seen it.
+	// Tried holds the names of the servers that have received it.
 	Tried map[string]bool
-	// Until is when it gives up waiting.
+	// Until is when it stops waiting for a slot.
 	Until time.Time
 }
 
-// Reservation is a reservation that is to be made.
+// Reservation is a request for a slot at one server.
 type Reservation struct {
 	Server choice.Candidate
-	// Constraints says what it may do to the server if that looks sick.
+	// Constraints are those of the request, with the suspicion accepted for this server.
 	Constraints breaker.Constraints
-	// since is when it was asked; heard says that some reply came.
-	since time.Time
-	heard bool
+	// askedAt is when it was made; replied reports that any reply has arrived.
+	askedAt time.Time
+	replied bool
 }
 
-// Refusal is what a refused reservation says to a search.
+// Refusal describes a refused reservation.
 type Refusal struct {
-	// Unhealthy says that the server looks sick.
+	// Unhealthy reports that the breaker of the server refused the request.
 	Unhealthy bool
-	// Denied says that the bound on extra attempts allows none there.
+	// Denied reports that the server's budget of extra attempts is spent.
 	Denied bool
 }
 
-// Search is one look for a slot. It is not safe for use by several goroutines.
+// Search is one search for a slot. It is not safe for concurrent use.
 type Search struct {
 	request Request
-	// queue holds the servers that are still to be asked in this round, asked all that
-	// were asked.
+	// queue holds the servers still to be asked in this round; asked holds the names of all
+	// that were asked in any round.
 	queue *choice.Queue
 	asked map[string]bool
-	// queued is at how many servers the request waits for a slot.
+	// queued is the number of servers at which the request waits for a slot.
 	queued int
 	// newest is the reservation that was made last.
 	newest *Reservation
-	// mayQueue is at how many servers the request may wait now, and waitCost the cost of
-	// the dearest one at which it waits.
-	mayQueue int
-	waitCost float64
-	// denials counts the servers that may get no extra attempt.
+	// queueLimit is at how many servers the request may wait now, maxWaitCost the highest cost
+	// of those at which it waits.
+	queueLimit  int
+	maxWaitCost float64
+	// denials counts the servers that denied an extra attempt.
 	denials int
 	// pause is the pause before the next round.
 	pause time.Duration
 }
 
-// New returns a search that has asked nobody.
+// New returns a search that has asked no server yet.
 func New(request Request) *Search {
-	return &Search{request: request, queue: choice.NewQueue(), asked: map[string]bool{}, pause: firstPause}
+	return &Search{request: request, queue: choice.NewQueue(), asked: map[string]bool{}, pause: minRoundPause}
 }
 
-// Constraints returns what the request may do to servers that look sick, in this round.
+// Constraints returns the constraints of the request in this round.
 func (s *Search) Constraints() breaker.Constraints { return s.request.Constraints }
 
-// Until returns when the request gives up waiting.
+// Until returns when the request stops waiting for a slot.
 func (s *Search) Until() time.Time { return s.request.Until }
 
-// Asked returns the servers that were asked.
+// Asked returns the names of the servers that were asked.
 func (s *Search) Asked() map[string]bool { return s.asked }
 
-// Begin starts a round: the servers are asked that have not seen the request, in the order
-// given, whose list it takes over. It returns how many there are.
+// Begin starts a round that asks the servers in the given order, but for those that have
+// received the request. It takes ownership of the slice, and returns how many servers remain.
 func (s *Search) Begin(servers []choice.Candidate) int {
 	if len(s.request.Tried) > 0 {
 		servers = slices.DeleteFunc(servers, func(server choice.Candidate) bool { return s.request.Tried[server.Name] })
 	}
 	s.queue.Fill(servers)
-	s.queued, s.mayQueue, s.waitCost = 0, maxQueued, 0
+	s.queued, s.queueLimit, s.maxWaitCost = 0, maxQueued, 0
 	return len(servers)
 }
 
-// Next returns the next question, but for servers that are passed over since they were
-// heard of after the round began; ok says that there is one.
-func (s *Search) Next(now time.Time, passedOver func(choice.Candidate) bool) (q *Reservation, ok bool) {
+// Next returns the next reservation to make. Servers for which skipped returns true are left
+// out: their status may have changed since the round began. ok is false if no server is left.
+func (s *Search) Next(now time.Time, skipped func(choice.Candidate) bool) (r *Reservation, ok bool) {
 	for {
 		server, left := s.queue.Take()
 		if !left {
 			return nil, false
 		}
-		if passedOver(server) {
+		if skipped(server) {
 			continue
 		}
-		ask := s.request.Constraints
-		ask.MaxSuspicion = s.bears(server)
-		q = &Reservation{Server: server, Constraints: ask, since: now}
-		s.asked[server.Name], s.newest = true, q
-		return q, true
+		constraints := s.request.Constraints
+		constraints.MaxSuspicion = s.suspicionLimit(server)
+		r = &Reservation{Server: server, Constraints: constraints, askedAt: now}
+		s.asked[server.Name], s.newest = true, r
+		return r, true
 	}
 }
 
-// bears returns how much suspicion of a server the request bears, by what the next choice
-// costs.
-func (s *Search) bears(server choice.Candidate) float64 {
+// suspicionLimit returns the suspicion of a server that the request accepts, by the cost of
+// the next choice.
+func (s *Search) suspicionLimit(server choice.Candidate) float64 {
 	next, left := s.queue.Next()
 	if !left {
 		return math.Inf(1)
 	}
-	return min(leastBears+bearsPerCost*max(next.Cost-server.Cost, 0), mostBears)
+	return min(baseSuspicion+suspicionPerCost*max(next.Cost-server.Cost, 0), maxSuspicion)
 }
 
-// Replied notes that some reply to a question came.
-func (s *Search) Replied(q *Reservation) { q.heard = true }
+// Replied records that a reply to a reservation has arrived.
+func (s *Search) Replied(r *Reservation) { r.replied = true }
 
-// Queued notes that the request waits at a server; more says that another is to be asked.
-func (s *Search) Queued(q *Reservation) (more bool) {
-	s.queue.Replied(q.Server.DataCentre, false)
+// Queued records that the request waits at a server. more reports that another is to be asked.
+func (s *Search) Queued(r *Reservation) (more bool) {
+	s.queue.Replied(r.Server.DataCentre, false)
 	s.queued++
-	s.waitCost = max(s.waitCost, q.Server.Cost)
-	return s.queued < s.mayQueue && s.worthTheCost()
+	s.maxWaitCost = max(s.maxWaitCost, r.Server.Cost)
+	return s.queued < s.queueLimit && s.nextIsCheapEnough()
 }
 
-// worthTheCost reports whether the next server is not much dearer than those at which the
-// request waits.
-func (s *Search) worthTheCost() bool {
+// nextIsCheapEnough reports whether the cost of the next server is within waitGap of those at
+// which the request waits.
+func (s *Search) nextIsCheapEnough() bool {
 	next, left := s.queue.Next()
-	return left && next.Cost <= s.waitCost+waitGap
+	return left && next.Cost <= s.maxWaitCost+waitGap
 }
 
-// Refused notes a refusal; more says that another server is to be asked.
-func (s *Search) Refused(q *Reservation, refusal Refusal) (more bool) {
-	s.queue.Replied(q.Server.DataCentre, refusal.Unhealthy)
+// Refused records a refusal. more reports that another server is to be asked.
+func (s *Search) Refused(r *Reservation, refusal Refusal) (more bool) {
+	s.queue.Replied(r.Server.DataCentre, refusal.Unhealthy)
 	if refusal.Denied {
 		s.denials++
 	}
 	return s.Ended()
 }
 
-// Ended notes that a reservation is over without a refusal, since its process was not
-// reached or its server leaves; more says that another server is to be asked.
+// Ended records that a reservation ended without a refusal: its sidecar could not be reached,
+// or the granted slot is not used. more reports that another server is to be asked.
 func (s *Search) Ended() (more bool) { return !s.TooManyDenials() }
 
-// denied reports whether the search is for an extra attempt that no server may get now.
-// Waiting for the bound to allow more would only hold its caller.
+// denied reports whether the search is for an extra attempt that was denied. Waiting for the
+// budget to allow more would only delay the answer to the caller.
 func (s *Search) denied() bool { return s.request.Extra && s.denials > 0 }
 
-// TooManyDenials reports whether so many servers may get no extra attempt that asking the
-// others is not worth it.
+// TooManyDenials reports whether so many servers have denied an extra attempt that asking
+// others is not worthwhile.
 func (s *Search) TooManyDenials() bool {
 	return s.denied() && s.queued == 0 && s.denials >= retry.MaxDenials(s.request.Rank, s.request.Scarce)
 }
 
-// ReplyOverdue reports whether the server that was asked last has been silent for so long that
-// another is to be asked.
+// ReplyOverdue reports whether the newest reservation has had no reply for ReplyOverdueAfter,
+// so that another server is to be asked.
 func (s *Search) ReplyOverdue(now time.Time) (more bool) {
-	return s.newest != nil && !s.newest.heard && now.Sub(s.newest.since) >= ReplyOverdueAfter
+	return s.newest != nil && !s.newest.replied && now.Sub(s.newest.askedAt) >= ReplyOverdueAfter
 }
 
-// WidenAfter returns after how long a wait for a slot further servers are asked, by the
-// request's objective.
+// WidenAfter returns after how long a wait for a slot further servers are asked, for a request
+// with the given objective.
 func WidenAfter(objective time.Duration) time.Duration {
 	return time.Duration(widenShare * float64(objective))
 }
 
-// Widen lets the request wait at further servers, besides those that keep it waiting; more
-// says that one is to be asked.
+// Widen lets the request wait at further servers, besides those at which it waits. more
+// reports that one is to be asked.
 func (s *Search) Widen() (more bool) {
-	s.mayQueue += maxQueued
+	s.queueLimit += maxQueued
 	return s.queued > 0
 }
 
-// NextRound reports whether another round follows, after a pause, on one that found no slot. In
-// it the request has no better choice than a sick server.
+// NextRound reports whether another round follows, after a pause, on one that found no slot.
+// In the next round the request may go to unhealthy servers as a last resort.
 func (s *Search) NextRound(now time.Time) (pause time.Duration, again bool) {
 	s.request.Constraints.LastResort = true
 	pause = s.pause
-	s.pause = min(2*s.pause, maxPause)
+	s.pause = min(2*s.pause, maxRoundPause)
 	return pause, !s.denied() && now.Add(pause).Before(s.request.Until)
 }
 
-// Unresponsive reports whether the process asked has been silent for so long that it is to be
+// Unresponsive reports whether the sidecar has not replied for so long that it is to be
 // avoided for a while.
-func (q *Reservation) Unresponsive(now time.Time) bool {
-	return !q.heard && now.Sub(q.since) >= avoidAfter
+func (r *Reservation) Unresponsive(now time.Time) bool {
+	return !r.replied && now.Sub(r.askedAt) >= unresponsiveAfter
 }
--- a/search/search_test.go
+++ b/search/search_test.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-// begin returns a search for a request that waits for a second, among servers of the given
-// costs.
+// begin starts a round among servers of the given costs, for a request that waits for up to a
+// second.
 func begin(request search.Request, costs ...float64) *search.Search {
 	request.Until = start.Add(time.Second)
 	s := search.New(request)
@@ -35,104 +35,105 @@
 	return s
 }
 
-func none(choice.Candidate) bool { return false }
+func skipNone(choice.Candidate) bool { return false }
 
-// ask returns the next question, which must be there.
-func ask(t *testing.T, s *search.Search) *search.Reservation {
+// nextReservation returns the next reservation, which must exist.
+func nextReservation(t *testing.T, s *search.Search) *search.Reservation {
 	t.Helper()
-	q, ok := s.Next(start, none)
-	assert.Assert(t, ok, "nobody is left to ask")
-	return q
+	r, ok := s.Next(start, skipNone)
+	assert.Assert(t, ok, "no server is left to ask")
+	return r
 }
 
-// TestOrder: servers are asked by their cost, but for those that have seen the request and
-// those that were heard of meanwhile.
+// TestOrder checks that servers are asked in the order of their cost, but for those that have
+// received the request and those that are skipped by their newer status.
 func TestOrder(t *testing.T) {
 	s := begin(search.Request{Tried: map[string]bool{"s-1": true}}, 0.1, 0.2, 0.3, 0.4)
-	assert.Equal(t, ask(t, s).Server.Name, "s-0")
-	q, ok := s.Next(start, func(server choice.Candidate) bool { return server.Name == "s-2" })
+	assert.Equal(t, nextReservation(t, s).Server.Name, "s-0")
+	r, ok := s.Next(start, func(server choice.Candidate) bool { return server.Name == "s-2" })
 	assert.Assert(t, ok)
-	assert.Equal(t, q.Server.Name, "s-3")
-	_, ok = s.Next(start, none)
+	assert.Equal(t, r.Server.Name, "s-3")
+	_, ok = s.Next(start, skipNone)
 	assert.Assert(t, !ok)
 	assert.DeepEqual(t, s.Asked(), map[string]bool{"s-0": true, "s-3": true})
 }
 
-// TestQueues: a request waits at three servers, fewer where the next is much dearer, and at
-// more once it has waited in vain.
+// TestQueues checks that a request waits at three servers, at fewer if the next one is much more
+// expensive, and at more once it has waited in vain.
 func TestQueues(t *testing.T) {
 	tests := map[string]struct {
 		costs []float64
-		// more is whether another is asked after each word that the request waits.
+		// more is whether another is asked after each reply that the request is queued.
 		more []bool
 	}{
-		"three near ones":      {[]float64{0.1, 0.2, 0.3, 0.4}, []bool{true, true, false}},
+		"three near servers":   {[]float64{0.1, 0.2, 0.3, 0.4}, []bool{true, true, false}},
 		"the next is far":      {[]float64{0.1, 0.2, 1.0, 1.1}, []bool{true, false}},
-		"all cost as much":     {[]float64{1.1, 1.1, 1.1, 1.1}, []bool{true, true, false}},
+		"all cost the same":    {[]float64{1.1, 1.1, 1.1, 1.1}, []bool{true, true, false}},
 		"no other server left": {[]float64{0.1}, []bool{false}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := begin(search.Request{}, test.costs...)
 			for i, more := range test.more {
-				assert.Equal(t, s.Queued(ask(t, s)), more, "after %d", i+1)
+				assert.Equal(t, s.Queued(nextReservation(t, s)), more, "after %d", i+1)
 			}
 			assert.Assert(t, s.Widen())
 		})
 	}
 }
 
-// TestWidenInVain: a request that waits nowhere is not sent to more servers by the time.
-func TestWidenInVain(t *testing.T) {
+// TestWidenWithoutQueue checks that a request that waits at no server is not sent to further
+// ones by the widening timer.
+func TestWidenWithoutQueue(t *testing.T) {
 	s := begin(search.Request{}, 0.1, 0.2)
-	ask(t, s)
+	nextReservation(t, s)
 	assert.Assert(t, !s.Widen())
 }
 
-// TestSilent: a server that does not reply has the next one asked as well, and is avoided if
-// it stays silent.
-func TestSilent(t *testing.T) {
+// TestReplyOverdue checks that the next server is asked too if a server does not reply, and that
+// the silent one is avoided if it still does not.
+func TestReplyOverdue(t *testing.T) {
 	tests := map[string]struct {
-		age              time.Duration
-		heard            bool
-		more, unreplying bool
+		age                time.Duration
+		replied            bool
+		more, unresponsive bool
 	}{
-		"a moment ago": {search.ReplyOverdueAfter - 1, false, false, false},
-		"silent":       {search.ReplyOverdueAfter, false, true, false},
-		"long silent":  {120 * time.Millisecond, false, true, true},
-		"it waits":     {120 * time.Millisecond, true, false, false},
+		"just asked":                {search.ReplyOverdueAfter - 1, false, false, false},
+		"silent":                    {search.ReplyOverdueAfter, false, true, false},
+		"no reply for long":         {120 * time.Millisecond, false, true, true},
+		"a reply that it is queued": {120 * time.Millisecond, true, false, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := begin(search.Request{}, 0.1, 0.2)
-			q := ask(t, s)
-			if test.heard {
-				s.Replied(q)
+			r := nextReservation(t, s)
+			if test.replied {
+				s.Replied(r)
 			}
 			assert.Equal(t, s.ReplyOverdue(start.Add(test.age)), test.more)
-			assert.Equal(t, q.Unresponsive(start.Add(test.age)), test.unreplying)
+			assert.Equal(t, r.Unresponsive(start.Add(test.age)), test.unresponsive)
 		})
 	}
 }
 
-// TestDenials: a look for an extra attempt that is denied ends after so many servers, and
-// has no second round.
+// TestDenials checks that a search for an extra attempt ends after a limited number of denials,
+// and has no second round.
 func TestDenials(t *testing.T) {
 	tests := map[string]struct {
 		request search.Request
-		most    int
+		limit   int
 		again   bool
 	}{
-		"an extra attempt":           {search.Request{Extra: true}, retry.MaxDenials(0, false), false},
-		"while these are scarce":     {search.Request{Extra: true, Scarce: true}, retry.MaxDenials(0, true), false},
-		"a first attempt goes on on": {search.Request{}, 30, true},
+		"an extra attempt":                {search.Request{Extra: true}, retry.MaxDenials(0, false), false},
+		"while extra attempts are scarce": {search.Request{Extra: true, Scarce: true}, retry.MaxDenials(0, true), false},
+		"a first attempt goes on":         {search.Request{}, 30, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := begin(test.request, make([]float64, 40)...)
-			for i := range test.most {
+			for i := range test.limit {
 				assert.Assert(t, !s.TooManyDenials(), "after %d", i)
-				s.Refused(ask(t, s), search.Refusal{Denied: true})
+				s.Refused(nextReservation(t, s), search.Refusal{Denied: true})
 			}
 			assert.Equal(t, s.TooManyDenials(), !test.again)
 			_, again := s.NextRound(start)
@@ -141,9 +142,9 @@
 	}
 }
 
-// TestAgain: pauses between rounds grow, the last resort follows the first, and none begins
-// when the request gives up before.
-func TestAgain(t *testing.T) {
+// TestNextRound checks that pauses between rounds grow, that rounds after the first are a last
+// resort, and that none begins after the request stops waiting.
+func TestNextRound(t *testing.T) {
 	s := begin(search.Request{}, 0.1)
 	assert.Equal(t, s.Constraints(), breaker.Constraints{})
 	for _, want := range []time.Duration{20, 40, 80, 80} {
@@ -156,36 +157,37 @@
 	assert.Assert(t, !again)
 }
 
-// TestBears: the dearer the next choice is, the more suspicion of a server is borne.
-func TestBears(t *testing.T) {
+// TestMaxSuspicion checks that a higher suspicion of a server is accepted the more expensive the
+// next choice is.
+func TestMaxSuspicion(t *testing.T) {
 	tests := map[string]struct {
-		costs       []float64
-		least, most float64
+		costs     []float64
+		low, high float64
 	}{
-		"the next costs the same":  {[]float64{0.5, 0.5}, 0.7, 0.7},
-		"the next is somewhat far": {[]float64{0.5, 0.7}, 1.29, 1.31},
-		"the next is far":          {[]float64{0.5, 3}, 2.5, 2.5},
-		"there is no next":         {[]float64{0.5}, 1e9, math.Inf(1)},
+		"the next costs the same":      {[]float64{0.5, 0.5}, 0.7, 0.7},
+		"the next costs somewhat more": {[]float64{0.5, 0.7}, 1.29, 1.31},
+		"the next is far":              {[]float64{0.5, 3}, 2.5, 2.5},
+		"there is no next server":      {[]float64{0.5}, 1e9, math.Inf(1)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			bears := ask(t, begin(search.Request{}, test.costs...)).Constraints.MaxSuspicion
-			assert.Assert(t, bears >= test.least && bears <= test.most, "%v", bears)
+			suspicion := nextReservation(t, begin(search.Request{}, test.costs...)).Constraints.MaxSuspicion
+			assert.Assert(t, suspicion >= test.low && suspicion <= test.high, "%v", suspicion)
 		})
 	}
 }
 
-// TestPatience states how long an attempt may wait for a slot.
-func TestPatience(t *testing.T) {
+// TestMaxSlotWait checks how long an attempt may wait for a slot.
+func TestMaxSlotWait(t *testing.T) {
 	tests := map[string]struct {
 		objective, remaining time.Duration
 		eager                bool
 		want                 time.Duration
 	}{
-		"by its objective":                 {objective: 800 * time.Millisecond, remaining: time.Second, want: 320 * time.Millisecond},
-		"by its time":                      {objective: 800 * time.Millisecond, remaining: 4 * time.Second, want: time.Second},
-		"never longer than its time":       {objective: 800 * time.Millisecond, remaining: 100 * time.Millisecond, want: 100 * time.Millisecond},
-		"longer after a server has failed": {objective: 800 * time.Millisecond, remaining: time.Second, eager: true, want: 600 * time.Millisecond},
+		"by its objective":                     {objective: 800 * time.Millisecond, remaining: time.Second, want: 320 * time.Millisecond},
+		"by its remaining time":                {objective: 800 * time.Millisecond, remaining: 4 * time.Second, want: time.Second},
+		"never longer than its remaining time": {objective: 800 * time.Millisecond, remaining: 100 * time.Millisecond, want: 100 * time.Millisecond},
+		"longer if eager":                      {objective: 800 * time.Millisecond, remaining: time.Second, eager: true, want: 600 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
