--- a/overload/ablation_test.go
+++ b/overload/ablation_test.go
@@ -23,20 +23,20 @@
 	serverFile  = "overload/server_test.go"
 )
 
-// mechanisms are the edits that take each one away. Those that a replay lacks are not among
-// them: hedges, costs of bytes and of warming up, readers, pings.
+// mechanisms holds, for each mechanism, the edits that disable it. Those that the simulation does
+// not have are missing: hedges, costs of bytes and of warming up, readers, pings.
 var mechanisms = map[string][]overlay.Edit{
 	"nothing": nil,
 	"breaker": {
 		{File: breakerFile, From: "case b.state == StateClosed:\n\t\treturn !c", To: "case true, b.state == StateClosed:\n\t\treturn true || !c"},
 	},
-	"slow evidence": {
+	"slow requests count": {
 		{File: breakerFile, From: "slowWeight    = 0.5", To: "slowWeight    = 0.0"},
 	},
-	"silence opens": {
+	"suspicion opens": {
 		{File: breakerFile, From: "b.Suspicion(now) >= hangSuspicion", To: "false"},
 	},
-	"silence borne": {
+	"suspicion limit": {
 		{File: breakerFile, From: "return !c.RiskAverse() || b.Suspicion(now) <= c.maxSuspicion()", To: "return true"},
 	},
 	"trials of scarce": {
@@ -46,7 +46,7 @@
 	"trials first": {
 		{File: costFile, From: "trialShare = 0.3", To: "trialShare = 0.0"},
 	},
-	"trials side by side": {
+	"concurrent trials": {
 		{File: breakerFile, From: "maxTrials = 3", To: "maxTrials = 1"},
 	},
 	"last resort": {
@@ -55,23 +55,23 @@
 	"retries": {
 		{File: ingressFile, From: "const attempts = 2", To: "const attempts = 1"},
 	},
-	"bound": {
+	"budget of extra attempts": {
 		{File: serverFile, From: "case r.extra() && !s.extras.Left(now):", To: "case false:"},
 		{File: serverFile, From: "r.payment == retry.PaidNothing", To: "false"},
 	},
 	"own data centre first": {
 		{File: costFile, From: "remoteCost     = 1.0", To: "remoteCost     = 0.0"},
 	},
-	"cost of sickness": {
+	"cost of unhealthy": {
 		{File: costFile, From: "unhealthyCost = 3.0", To: "unhealthyCost = 0.0"},
 	},
-	"sick passed over": {
+	"unhealthy skipped": {
 		{File: costFile, From: "case server.status.Unhealthy && !server.trialDue(now, request):", To: "case false:"},
 	},
-	"full passed over": {
+	"full skipped": {
 		{File: costFile, From: "case server.status.Full && age < server.status.pause():", To: "case false:"},
 	},
-	"spent passed over": {
+	"spent skipped": {
 		{File: costFile, From: "case request.Extra && server.status.Spent && age < spentPause:", To: "case false:"},
 	},
 	"cost of suspicion": {
@@ -80,13 +80,13 @@
 	"cost of rejections": {
 		{File: costFile, From: "shedCost = 1.5", To: "shedCost = 0.0"},
 	},
-	"cost of silence": {
+	"cost of no reply": {
 		{File: costFile, From: "noReplyCost = 10.0", To: "noReplyCost = 0.0"},
 	},
-	"cost of quiet": {
+	"cost of no success": {
 		{File: costFile, From: "noSuccessCost = 0.2", To: "noSuccessCost = 0.0"},
 	},
-	"sick share of unheard": {
+	"unhealthy share of stale": {
 		{File: queueFile, From: "return float64(unhealthy) / (", To: "return 0 / ("},
 	},
 	"queue at three": {
@@ -95,10 +95,10 @@
 	"widening": {
 		{File: searchFile, From: "return s.queued > 0\n", To: "return false\n"},
 	},
-	"gap of waits": {
+	"cost gap of queues": {
 		{File: searchFile, From: "waitGap = 0.75", To: "waitGap = 100.0"},
 	},
-	"denied enough": {
+	"limit of denials": {
 		{File: searchFile, From: "return s.denied() && s.queued == 0 && s.denials >=", To: "return false && s.denials >="},
 	},
 	"rank": {
@@ -107,7 +107,7 @@
 		{File: orderFile, From: "l == own && s.queue[i].Rank > it.Rank", To: "false"},
 		{File: orderFile, From: "l == lowest && q.Rank >= s.queue[last].Rank", To: "l == lowest"},
 	},
-	"fair among workspaces": {
+	"fairness among workspaces": {
 		{File: orderFile, From: "return s.running[a.Customer] < s.running[b.Customer]", To: "return false"},
 		{File: orderFile, From: "return s.largestCustomer(it, own)", To: "return -1"},
 	},
@@ -116,8 +116,8 @@
 	},
 }
 
-// TestAblation replays all patterns without one mechanism after the other and prints what comes
-// of them. It judges nothing: patterns need not keep their bounds then.
+// TestAblation simulates all patterns with one mechanism disabled at a time and prints the results.
+// It checks no bounds: patterns need not keep them without a mechanism.
 func TestAblation(t *testing.T) {
 	for name, edits := range mechanisms {
 		t.Run(name, func(t *testing.T) {
--- a/overload/ingress_test.go
+++ b/overload/ingress_test.go
@@ -11,24 +11,24 @@
 	"slatewind.example/slatewind/search"
 )
 
-// attempts is to how many servers a request may be sent.
+// attempts is the number of servers to which a request may be sent.
 const attempts = 2
 
-// scarceMemory is how long after a denied extra attempt these are taken to be scarce.
+// scarceMemory is how long after a denied extra attempt others are assumed to be denied too.
 const scarceMemory = 2 * time.Second
 
-// refusal is why a reservation got no slot.
+// refusal is the reason why a reservation got no slot.
 type refusal string
 
 const (
-	refusedSick   refusal = "sick"
-	refusedFull   refusal = "full"
-	refusedBudget refusal = "budget"
+	refusedUnhealthy refusal = "sick"
+	refusedFull      refusal = "full"
+	refusedBudget    refusal = "budget"
 )
 
 // ingress is one process's view of all servers.
 type ingress struct {
-	w          *world
+	w          *simulation
 	index      int
 	dataCentre string
 	service    *choice.Service
@@ -36,7 +36,7 @@
 	denied time.Time
 }
 
-func newIngress(w *world, index int) *ingress {
+func newIngress(w *simulation, index int) *ingress {
 	in := &ingress{w: w, index: index, dataCentre: fmt.Sprint("dc-", index%w.DataCentres)}
 	in.service = choice.NewService(in.dataCentre, w.random.Uint64())
 	for _, s := range w.servers {
@@ -45,135 +45,137 @@
 	return in
 }
 
-// request is one caller's request.
+// request is a request of a caller.
 type request struct {
 	from       *ingress
 	sender     workspaceLoad
 	repeatable bool
 	began      time.Time
 	deadline   time.Time
-	// look decides whom to ask; open holds the reservations without a final reply.
-	look *search.Search
-	open map[*reservation]bool
-	// slot is the reservation that got one.
+	// slotSearch chooses the servers to ask; open holds the reservations without a final reply.
+	slotSearch *search.Search
+	open       map[*reservation]bool
+	// slot is the reservation that got a slot.
 	slot     *reservation
 	tried    map[string]bool
 	arrivals int
 	done     bool
-	// announced says that a server has counted the request as a first one.
-	announced bool
+	// counted reports that a server has counted the request as a first one.
+	counted bool
 }
 
-// reservation asks one server for a slot.
+// reservation is a reservation of a slot at one server.
 type reservation struct {
-	request  *request
-	question *search.Reservation
-	server   *server
-	item     admission.Item
-	granted  bool
-	// payment is what an extra arrival was paid from.
+	request *request
+	planned *search.Reservation
+	server  *server
+	item    admission.Item
+	granted bool
+	// payment is how an extra arrival was paid for.
 	payment retry.Payment
 }
 
-// ask says what the reservation may do to a server that looks sick.
-func (r *reservation) ask() breaker.Constraints { return r.question.Constraints }
+// constraints returns the constraints of the reservation, by the health of the server.
+func (r *reservation) constraints() breaker.Constraints { return r.planned.Constraints }
 
-// until is when the reservation is not waited for any longer.
-func (r *reservation) until() time.Time { return r.request.look.Until() }
+// until returns when the request stops waiting for the reservation.
+func (r *reservation) until() time.Time { return r.request.slotSearch.Until() }
 
-// extra reports whether the reservation is for an extra arrival that its server pays for.
+// extra reports whether the reservation is for an extra arrival, which its server pays for.
 func (r *reservation) extra() bool { return r.request.arrivals > 0 }
 
-// take begins a request.
-func (in *ingress) take() {
+// accept starts a request of a caller.
+func (in *ingress) accept() {
 	now := in.w.now
 	sender := in.w.sender()
 	in.w.sent[sender.Name]++
 	rq := &request{
 		from: in, sender: sender, repeatable: in.w.random.Float64() < in.w.Repeatable, began: now, deadline: now.Add(in.w.Patience * 4), tried: map[string]bool{},
 	}
-	rq.search(now.Add(in.w.Patience))
+	rq.startSearch(now.Add(in.w.Patience))
 }
 
-// want is what the request is like now.
-func (rq *request) want() choice.Request {
-	return choice.Request{Constraints: rq.look.Constraints(), Extra: rq.arrivals > 0}
+// choiceRequest returns the properties of the request by which a server is chosen.
+func (rq *request) choiceRequest() choice.Request {
+	return choice.Request{Constraints: rq.slotSearch.Constraints(), Extra: rq.arrivals > 0}
 }
 
-// search begins to look for a slot until a time.
-func (rq *request) search(until time.Time) {
+// startSearch starts a search for a slot that ends at a time.
+func (rq *request) startSearch(until time.Time) {
 	w := rq.from.w
-	rq.look = search.New(search.Request{
+	rq.slotSearch = search.New(search.Request{
 		Constraints: breaker.Constraints{Careful: !rq.repeatable || rq.arrivals > 0}, Extra: rq.arrivals > 0, Tried: rq.tried, Until: until,
 		Scarce: w.now.Sub(rq.from.denied) < scarceMemory,
 	})
 	rq.open, rq.slot = map[*reservation]bool{}, nil
-	rq.round()
-	look := rq.look
-	w.after(until.Sub(w.now), func() { rq.in(look, rq.refused) })
+	rq.startRound()
+	current := rq.slotSearch
+	w.after(until.Sub(w.now), func() { rq.ifCurrent(current, rq.giveUp) })
 }
 
-// in does something unless the look that it belongs to is over.
-func (rq *request) in(look *search.Search, do func()) {
-	if !rq.done && rq.slot == nil && rq.look == look {
+// ifCurrent calls do unless the given search has ended.
+func (rq *request) ifCurrent(current *search.Search, do func()) {
+	if !rq.done && rq.slot == nil && rq.slotSearch == current {
 		do()
 	}
 }
 
-// round asks the servers in the order of their cost.
-func (rq *request) round() {
-	w, look := rq.from.w, rq.look
-	look.Begin(rq.from.service.Order(w.now, rq.want()))
-	rq.goOn(true)
-	w.after(search.WidenAfter(w.Objective), func() { rq.in(look, func() { rq.nextIf(look.Widen()) }) })
+// startRound asks the servers in the order of their cost.
+func (rq *request) startRound() {
+	w, current := rq.from.w, rq.slotSearch
+	current.Begin(rq.from.service.Order(w.now, rq.choiceRequest()))
+	rq.continueRound(true)
+	w.after(search.WidenAfter(w.Objective), func() { rq.ifCurrent(current, func() { rq.reserveNextIf(current.Widen()) }) })
 }
 
-// nextIf asks the next server where the look wants that.
-func (rq *request) nextIf(more bool) {
+// reserveNextIf asks the next server if the search requires it.
+func (rq *request) reserveNextIf(more bool) {
 	if more {
-		rq.next()
+		rq.reserveNext()
 	}
 }
 
-// goOn asks the next server where the look wants that, or ends the round where no reply is
-// awaited any more.
-func (rq *request) goOn(more bool) {
-	rq.nextIf(more)
+// continueRound asks the next server if the search requires it, and ends the round if no reply
+// is outstanding.
+func (rq *request) continueRound(more bool) {
+	rq.reserveNextIf(more)
 	if len(rq.open) == 0 {
 		rq.endRound()
 	}
 }
 
-// next asks the next server, if there is one.
-func (rq *request) next() {
-	w, look := rq.from.w, rq.look
-	question, left := look.Next(w.now, func(server choice.Candidate) bool { return rq.from.service.Skipped(w.now, server.ID(), rq.want()) })
+// reserveNext asks the next server, if there is one.
+func (rq *request) reserveNext() {
+	w, current := rq.from.w, rq.slotSearch
+	planned, left := current.Next(w.now, func(server choice.Candidate) bool {
+		return rq.from.service.Skipped(w.now, server.ID(), rq.choiceRequest())
+	})
 	if !left {
 		return
 	}
-	r := &reservation{request: rq, question: question, server: w.server(question.Server.Name)}
+	r := &reservation{request: rq, planned: planned, server: w.server(planned.Server.Name)}
 	rq.open[r] = true
 	w.reservations++
-	rq.from.service.Reserved(w.now, question.Server.ID())
+	rq.from.service.Reserved(w.now, planned.Server.ID())
 	r.toServer(func() { r.server.reserve(r) })
-	w.after(search.ReplyOverdueAfter, func() { rq.in(look, func() { rq.nextIf(look.ReplyOverdue(w.now)) }) })
+	w.after(search.ReplyOverdueAfter, func() { rq.ifCurrent(current, func() { rq.reserveNextIf(current.ReplyOverdue(w.now)) }) })
 }
 
-// endRound refuses the request, or asks all once more after a pause.
+// endRound gives the request up, or starts another round after a pause.
 func (rq *request) endRound() {
-	w, look := rq.from.w, rq.look
-	pause, again := look.NextRound(w.now)
-	if !again || look.TooManyDenials() {
-		rq.refused()
+	w, current := rq.from.w, rq.slotSearch
+	pause, again := current.NextRound(w.now)
+	if !again || current.TooManyDenials() {
+		rq.giveUp()
 		return
 	}
-	w.after(pause, func() { rq.in(look, rq.round) })
+	w.after(pause, func() { rq.ifCurrent(current, rq.startRound) })
 }
 
-// refused gives the request up.
-func (rq *request) refused() {
-	rq.end()
-	rq.note(false)
+// giveUp ends the request without an answer.
+func (rq *request) giveUp() {
+	rq.finish()
+	rq.recordOutcome(false)
 	w := rq.from.w
 	if rq.arrivals > 0 {
 		w.failed++
@@ -183,69 +185,69 @@
 	w.held = append(w.held, w.now.Sub(rq.began))
 }
 
-// end takes back what the request still has open.
-func (rq *request) end() {
+// finish cancels the open reservations of the request.
+func (rq *request) finish() {
 	rq.done = true
-	rq.leaveOthers()
+	rq.cancelOthers()
 }
 
-func (rq *request) leaveOthers() {
+func (rq *request) cancelOthers() {
 	for r := range rq.open {
 		delete(rq.open, r)
 		rq.from.service.Ended(r.server.entry.ID())
 		if r != rq.slot {
-			r.server.leave(r)
+			r.server.cancel(r)
 		}
 	}
 }
 
-// toServer has a message of the ingress come to the process beside the server, toIngress one back.
+// toServer delivers a message from the ingress to the sidecar, toIngress one in the other direction.
 func (r *reservation) toServer(do func()) {
 	w := r.request.from.w
-	w.after(w.delay(r.request.from.dataCentre, r.server.entry.DataCentre)+w.lag(r.server.index), do)
+	w.after(w.delay(r.request.from.dataCentre, r.server.entry.DataCentre)+w.drawLag(r.server.index), do)
 }
 
 func (r *reservation) toIngress(do func()) {
 	w := r.request.from.w
-	w.after(w.delay(r.server.entry.DataCentre, r.request.from.dataCentre)+w.lag(r.request.from.index), do)
+	w.after(w.delay(r.server.entry.DataCentre, r.request.from.dataCentre)+w.drawLag(r.request.from.index), do)
 }
 
-// reply has something come to the request's ingress, with the server's state.
-func (r *reservation) reply(told choice.Status, do func()) {
+// reply delivers a reply with the server's status to the ingress, and calls do if it is still awaited.
+func (r *reservation) reply(status choice.Status, do func()) {
 	in := r.request.from
 	r.toIngress(func() {
-		in.service.Replied(in.w.now, r.server.entry.ID(), told)
+		in.service.Replied(in.w.now, r.server.entry.ID(), status)
 		if r.request.open[r] {
-			r.request.look.Replied(r.question)
+			r.request.slotSearch.Replied(r.planned)
 			do()
 		}
 	})
 }
 
-// refuse tells that the reservation gets no slot.
+// refuse replies that the reservation gets no slot.
 func (r *reservation) refuse(cause refusal, after time.Duration) {
 	rq := r.request
 	rq.from.w.count(cause)
-	r.reply(r.server.toldWith(cause, after), func() {
+	r.reply(r.server.statusWith(cause, after), func() {
 		delete(rq.open, r)
 		rq.from.service.Ended(r.server.entry.ID())
 		if cause == refusedBudget {
 			rq.from.denied = rq.from.w.now
 		}
-		more := rq.look.Refused(r.question, search.Refusal{Unhealthy: cause == refusedSick, Denied: cause == refusedBudget})
-		if rq.look.TooManyDenials() {
-			rq.refused()
+		more := rq.slotSearch.Refused(r.planned, search.Refusal{Unhealthy: cause == refusedUnhealthy, Denied: cause == refusedBudget})
+		if rq.slotSearch.TooManyDenials() {
+			rq.giveUp()
 			return
 		}
-		rq.goOn(more)
+		rq.continueRound(more)
 	})
 }
 
-// queue tells that the reservation waits.
+// queue replies that the reservation waits.
 func (r *reservation) queue() {
 	rq := r.request
-	rq.from.w.waits++
-	r.reply(r.server.told(), func() { rq.nextIf(rq.look.Queued(r.question)) })
+	rq.from.w.queued++
+	r.reply(r.server.status(), func() { rq.reserveNextIf(rq.slotSearch.Queued(r.planned)) })
 }
 
 // grant gives the reservation its slot.
@@ -254,27 +256,27 @@
 	r.granted = true
 	in := rq.from
 	r.toIngress(func() {
-		in.service.Replied(in.w.now, r.server.entry.ID(), r.server.told())
+		in.service.Replied(in.w.now, r.server.entry.ID(), r.server.status())
 		if rq.done || rq.slot != nil || !rq.open[r] {
-			r.server.leave(r)
+			r.server.cancel(r)
 			return
 		}
 		rq.slot = r
-		rq.leaveOthers()
+		rq.cancelOthers()
 		r.toServer(func() { r.server.run(r) })
 	})
 }
 
-// answered takes what came of the request at a server.
-func (rq *request) answered(r *reservation, result breaker.Result, told choice.Status) {
+// handleAnswer handles the result of the request at a server.
+func (rq *request) handleAnswer(r *reservation, result breaker.Result, status choice.Status) {
 	w, name := rq.from.w, r.server.entry.ID()
-	rq.from.service.Replied(w.now, name, told)
+	rq.from.service.Replied(w.now, name, status)
 	rq.arrivals++
 	rq.tried[name] = true
 	if result == breaker.ResultOK {
 		rq.from.service.Succeeded(w.now, name)
 		rq.done = true
-		rq.note(true)
+		rq.recordOutcome(true)
 		w.served++
 		if w.now.Sub(rq.began) <= w.Objective {
 			w.inTime++
@@ -284,24 +286,24 @@
 	}
 	proof := result == breaker.ResultShed
 	if (rq.repeatable || proof) && rq.arrivals < attempts && w.now.Before(rq.deadline) {
-		rq.search(w.now.Add(search.MaxSlotWait(rq.deadline.Sub(w.now), w.Objective, true)))
+		rq.startSearch(w.now.Add(search.MaxSlotWait(rq.deadline.Sub(w.now), w.Objective, true)))
 		return
 	}
 	rq.done = true
-	rq.note(false)
+	rq.recordOutcome(false)
 	w.failed++
 }
 
-// note writes down what came of the request.
-func (rq *request) note(served bool) {
+// recordOutcome records the outcome of the request.
+func (rq *request) recordOutcome(served bool) {
 	rq.from.w.outcomes = append(rq.from.w.outcomes, outcome{rq.began, served})
 }
 
 // count counts a refused reservation.
 func (t *tally) count(cause refusal) {
 	switch cause {
-	case refusedSick:
-		t.sick++
+	case refusedUnhealthy:
+		t.unhealthy++
 	case refusedFull:
 		t.full++
 	case refusedBudget:
@@ -310,7 +312,7 @@
 }
 
 // server returns a server by its name.
-func (w *world) server(name string) *server {
+func (w *simulation) server(name string) *server {
 	for _, s := range w.servers {
 		if s.entry.Name == name {
 			return s
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -24,7 +24,7 @@
 	return p
 }
 
-// percentile90 returns what nine of ten are at most.
+// percentile90 returns the 90th percentile.
 func percentile90(list []time.Duration) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -33,7 +33,7 @@
 	return list[len(list)*9/10]
 }
 
-// TestPatterns: each pattern of load comes out as it states.
+// TestPatterns checks that each pattern of load has its required results.
 func TestPatterns(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(t, err)
@@ -43,16 +43,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := load(t, file)
-			got := replay(p, 1)
+			got := simulate(p, 1)
 			served := float64(got.served) / float64(got.requests)
 			reservations := float64(got.reservations) / float64(got.requests)
 			extra := float64(got.extra) / float64(max(got.first, 1))
 			held := percentile90(got.held)
-			t.Logf("%s: %d requests: served %.3f (%.3f in time), refused %d, failed %d, held %s; %.3f extra arrivals; %.2f reservations a request, of all %d sick, %d full, %d denied, %d that waited",
-				name, got.requests, served, float64(got.inTime)/float64(got.requests), got.refused, got.failed, held.Round(time.Millisecond), extra, reservations, got.sick, got.full, got.denied, got.waits)
+			t.Logf("%s: %d requests: served %.3f (%.3f in time), refused %d, failed %d, held %s; %.3f extra arrivals; %.2f reservations per request, of all %d refused as unhealthy, %d as full, %d denied, %d queued",
+				name, got.requests, served, float64(got.inTime)/float64(got.requests), got.refused, got.failed, held.Round(time.Millisecond), extra, reservations, got.unhealthy, got.full, got.denied, got.queued)
 			assert.Equal(t, got.served+got.refused+got.failed, got.requests, "each request has one outcome")
 			assert.Check(t, served >= p.Want.Served, "served %.3f", served)
-			assert.Check(t, reservations <= p.Want.Reservations, "%.2f reservations a request", reservations)
+			assert.Check(t, reservations <= p.Want.Reservations, "%.2f reservations per request", reservations)
 			assert.Check(t, extra <= p.Want.Extra, "%.3f extra arrivals", extra)
 			assert.Check(t, held <= p.Want.Held, "held %s", held)
 			for _, load := range p.Workspaces {
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkPatterns gives the time to replay a pattern, and reservations a request.
+// BenchmarkPatterns measures the time to simulate a pattern, and the reservations per request.
 func BenchmarkPatterns(b *testing.B) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(b, err)
@@ -73,7 +73,7 @@
 		b.Run(strings.TrimSuffix(filepath.Base(file), ".yaml"), func(b *testing.B) {
 			var all tally
 			for i := 0; b.Loop(); i++ {
-				got := replay(p, uint64(i))
+				got := simulate(p, uint64(i))
 				all.requests += got.requests
 				all.reservations += got.reservations
 			}
--- a/overload/server_test.go
+++ b/overload/server_test.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// tick is how often the process beside a server looks at its queue and its judgement.
+	// tick is how often the sidecar checks its queue and its breaker.
 	tick = 50 * time.Millisecond
-	// promptly is how long a rejection or a reset takes.
-	promptly = time.Millisecond
+	// failTime is how long a rejection or a reset takes.
+	failTime = time.Millisecond
 )
 
-// server is a server with the decisions of the process beside it.
+// server is a server with its sidecar.
 type server struct {
-	w       *world
+	w       *simulation
 	index   int
 	entry   slatewind.ServerEntry
 	slots   *admission.Server
 	breaker *breaker.Breaker
 	extras  *retry.Window
-	// waiting holds, by the item's id, the reservations that wait.
+	// waiting holds the reservations that wait, by the id of their item.
 	waiting map[string]*reservation
 	nextID  int
-	// arrivals are when the server got requests, unread are those whose answers its process has
-	// not read yet.
+	// arrivals holds the times of the requests that the server got; unread holds the ids of
+	// those whose answers its sidecar has not read yet.
 	arrivals []time.Time
 	unread   map[string]bool
 }
 
-func newServer(w *world, index int) *server {
+func newServer(w *simulation, index int) *server {
 	s := &server{
 		w: w, index: index, slots: admission.NewServer(w.Slots), breaker: breaker.New(),
-		// The process has run for long when the pattern begins.
+		// The sidecar has run for long when the pattern begins.
 		extras:  retry.NewWindow(w.now.Add(-time.Minute), w.Ratio, 10*time.Second),
 		waiting: map[string]*reservation{}, unread: map[string]bool{},
 		entry: slatewind.ServerEntry{
@@ -54,52 +54,52 @@
 	return s
 }
 
-// onTick looks at the queue and the judgement, as each tick does.
+// onTick checks the queue and the breaker.
 func (s *server) onTick() {
 	s.deliver(s.slots.Advance(s.w.now))
-	s.lookForAnswers()
-	s.noteOpening(s.breaker.Tick(s.w.now))
+	s.updateUnread()
+	s.countOpening(s.breaker.Tick(s.w.now))
 	if !s.w.over() || len(s.waiting) > 0 {
 		s.w.after(tick, s.onTick)
 	}
 }
 
-// lookForAnswers tells the judgement which requests are late since their answers are not read yet.
-func (s *server) lookForAnswers() {
+// updateUnread tells the breaker which requests are late because their answers are unread.
+func (s *server) updateUnread() {
 	for _, id := range s.breaker.LateRequests(s.w.now) {
 		s.breaker.SetUnread(s.w.now, id, s.unread[id])
 	}
 }
 
-// allows reports whether the judgement lets a reservation through.
+// allows reports whether the breaker admits a reservation.
 func (s *server) allows(r *reservation) bool {
-	if s.breaker.Allow(s.w.now, r.ask()) {
+	if s.breaker.Allow(s.w.now, r.constraints()) {
 		return true
 	}
-	s.lookForAnswers()
-	return s.breaker.Allow(s.w.now, r.ask())
+	s.updateUnread()
+	return s.breaker.Allow(s.w.now, r.constraints())
 }
 
-// noteOpening counts a server that is set aside while it is well.
-func (s *server) noteOpening(changed bool) {
-	if changed && s.breaker.State() == breaker.StateOpen && !s.w.fails(s.index) {
-		s.w.setAside++
+// countOpening counts an opening of the breaker while the server is healthy.
+func (s *server) countOpening(changed bool) {
+	if changed && s.breaker.State() == breaker.StateOpen && !s.w.isFaulty(s.index) {
+		s.w.falseOpenings++
 	}
 }
 
-// report tells the ingresses of the data centre that the server is sick.
+// report reports an unhealthy server to the ingresses of its data centre.
 func (s *server) report() {
 	if s.w.over() {
 		return
 	}
-	if told := s.told(); told.Unhealthy {
-		told.TrialIn = s.breaker.TrialIn(s.w.now)
-		told.TrialDue = told.TrialIn == 0
+	if status := s.status(); status.Unhealthy {
+		status.TrialIn = s.breaker.TrialIn(s.w.now)
+		status.TrialDue = status.TrialIn == 0
 		at := s.w.now
 		s.w.after(s.w.ReportEvery/2, func() {
 			for _, ingress := range s.w.ingresses {
 				if ingress.dataCentre == s.entry.DataCentre {
-					ingress.service.Reported(at, s.entry.Name, told)
+					ingress.service.Reported(at, s.entry.Name, status)
 				}
 			}
 		})
@@ -107,18 +107,18 @@
 	s.w.after(s.w.ReportEvery, s.report)
 }
 
-// reserve decides about a reservation.
+// reserve handles a reservation.
 func (s *server) reserve(r *reservation) {
 	rq, now := r.request, s.w.now
-	if !rq.announced {
-		rq.announced = true
+	if !rq.counted {
+		rq.counted = true
 		s.extras.RecordFirst(now)
 	}
 	switch {
 	case rq.slot != nil || rq.done:
 		return
 	case !s.allows(r):
-		r.refuse(refusedSick, s.breaker.RetryAfter(now))
+		r.refuse(refusedUnhealthy, s.breaker.RetryAfter(now))
 		return
 	case r.extra() && !s.extras.Left(now):
 		r.refuse(refusedBudget, 0)
@@ -137,7 +137,7 @@
 	}
 }
 
-// deliver tells those that wait what was decided.
+// deliver sends the decisions to the reservations that wait.
 func (s *server) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		r := s.waiting[d.Item.ID]
@@ -161,36 +161,36 @@
 	}
 }
 
-// leave takes a reservation back that another server's slot made needless.
-func (s *server) leave(r *reservation) {
+// cancel cancels a reservation that is not needed any more, since another server granted a slot.
+func (s *server) cancel(r *reservation) {
 	if s.waiting[r.item.ID] != nil {
 		delete(s.waiting, r.item.ID)
 		s.slots.Remove(r.item.ID)
 		return
 	}
 	if r.granted {
-		// Its grant may be on its way still, and come back when it arrives.
+		// The grant may still be on its way, and is cancelled again when it arrives.
 		r.granted = false
 		s.extras.Return(r.payment)
-		s.end(r, breaker.ResultNone, s.slots.Mean())
+		s.releaseSlot(r, breaker.ResultNone, s.slots.Mean())
 	}
 }
 
-// end gives a slot back.
-func (s *server) end(r *reservation, result breaker.Result, took time.Duration) {
-	s.noteOpening(s.breaker.End(s.w.now, r.item.ID, result))
+// releaseSlot releases the slot of a reservation.
+func (s *server) releaseSlot(r *reservation, result breaker.Result, took time.Duration) {
+	s.countOpening(s.breaker.End(s.w.now, r.item.ID, result))
 	s.deliver(s.slots.Done(s.w.now, r.item, took))
 }
 
-// spread is that of the logarithm of a request's work.
-const spread = 0.4
+// workSpread is the standard deviation of the logarithm of a request's work.
+const workSpread = 0.4
 
-// work draws how long a well server takes for a request.
-func (w *world) work() time.Duration {
-	return time.Duration(float64(w.Mean) * math.Exp(spread*w.random.NormFloat64()-spread*spread/2))
+// drawWork draws how long a healthy server takes for a request.
+func (w *simulation) drawWork() time.Duration {
+	return time.Duration(float64(w.Mean) * math.Exp(workSpread*w.random.NormFloat64()-workSpread*workSpread/2))
 }
 
-// run has the server run a request, and tells its ingress what came of it.
+// run runs a request at the server and sends its result to the ingress.
 func (s *server) run(r *reservation) {
 	rq := r.request
 	s.breaker.Start(s.w.now, r.item.ID)
@@ -200,17 +200,17 @@
 		s.w.extra++
 		s.extras.Arrived(s.w.now, r.payment)
 	}
-	took, result := s.w.work(), breaker.ResultOK
-	if f, met := s.w.meets(s.index); met {
+	took, result := s.w.drawWork(), breaker.ResultOK
+	if f, met := s.w.drawFault(s.index); met {
 		switch f.Kind {
 		case faultSlow:
 			took = time.Duration(f.Times * float64(took))
 		case faultHang:
 			took = rq.deadline.Sub(s.w.now)
 		case faultShed:
-			took, result = promptly, breaker.ResultShed
+			took, result = failTime, breaker.ResultShed
 		case faultReset:
-			took, result = promptly, breaker.ResultBroken
+			took, result = failTime, breaker.ResultBroken
 		}
 	}
 	if left := rq.deadline.Sub(s.w.now); took >= left {
@@ -219,25 +219,25 @@
 	s.arrivals = append(s.arrivals, s.w.now)
 	s.w.after(took, func() {
 		s.unread[r.item.ID] = true
-		s.w.after(s.w.lag(s.index), func() {
+		s.w.after(s.w.drawLag(s.index), func() {
 			delete(s.unread, r.item.ID)
-			s.end(r, result, took)
-			told := s.told()
-			r.toIngress(func() { rq.answered(r, result, told) })
+			s.releaseSlot(r, result, took)
+			status := s.status()
+			r.toIngress(func() { rq.handleAnswer(r, result, status) })
 		})
 	})
 }
 
-// toldWith is the state that comes with a refusal.
-func (s *server) toldWith(cause refusal, after time.Duration) choice.Status {
-	told := s.told()
+// statusWith returns the status that comes with a refusal.
+func (s *server) statusWith(cause refusal, after time.Duration) choice.Status {
+	status := s.status()
 	switch cause {
-	case refusedSick:
-		told.TrialIn = after
+	case refusedUnhealthy:
+		status.TrialIn = after
 	case refusedFull:
-		told.Full, told.SlotIn = true, after
+		status.Full, status.SlotIn = true, after
 	case refusedBudget:
-		told.Spent = true
+		status.Spent = true
 	}
-	return told
+	return status
 }
