--- a/crash/crash.go
+++ b/crash/crash.go
@@ -1,8 +1,8 @@
-// Package crash tells under which requests a server ended.
+// Package crash determines which requests were running when a server crashed.
 //
-// A reset of one connection reads the same as the end of the server. So a run that broke is followed
-// by one connect: only where that is refused has the server ended, and all that it ran then is
-// suspected. The decisions about suspects are package quarantine's.
+// A reset of one connection looks the same as a crash of the server. So a failed run is followed by
+// one connection attempt: only if that is refused has the server crashed, and all requests that
+// were running are suspected. Package quarantine decides what happens to suspected requests.
 package crash
 
 import (
@@ -18,76 +18,80 @@
 )
 
 const (
-	// ProbeTime bounds the connect that tells whether a server listens still.
+	// ProbeTime is the timeout of the connection attempt that shows whether the server still
+	// listens.
 	ProbeTime = 100 * time.Millisecond
-	// leftTime is how long a run whose caller left is suspected still: the server may have
-	// begun to end under it.
-	leftTime = 500 * time.Millisecond
-	// mostLeft bounds the runs that are kept for that.
-	mostLeft = 16
+	// abandonedTime is how long a run is still suspected after its caller left: the server may have
+	// begun to crash during it.
+	abandonedTime = 500 * time.Millisecond
+	// maxAbandoned limits the number of abandoned runs that are kept.
+	maxAbandoned = 16
 )
 
 // Run is one run of a request at the server.
 type Run struct {
 	Digest quarantine.Digest
-	// Trial says that it is one of a request under which servers ended.
+	// Trial means that the run is a trial of a quarantined request.
 	Trial bool
-	// Began is when the server may first have had the request, Sent whether it had it.
+	// Began is the earliest time at which the server may have received the request; Sent reports
+	// whether any of it was sent.
 	Began time.Time
 	Sent  bool
 }
 
-// leftRun is a run whose caller left before its end.
-type leftRun struct {
+// abandonedRun is a run whose caller left before it ended.
+type abandonedRun struct {
 	Run
 	at time.Time
 }
 
-// Detector finds the ends of one server. It is safe for use by several goroutines.
+// Detector detects crashes of one server. It is safe for concurrent use.
 type Detector struct {
-	// probe connects to the server, planned reports whether its end would be a planned one.
+	// probe connects to the server; planned reports whether an end of the server would be a planned
+	// one.
 	probe   func(ctx context.Context) error
 	planned func() bool
 
-	// probing is held while somebody finds out whether the server ended.
+	// probing is held while a goroutine determines whether the server crashed.
 	probing sync.Mutex
-	// last is the newest end, at when it was found. Only whoever holds probing changes it.
+	// last is the id of the newest crash, at the time of its detection. Both are guarded by
+	// probing.
 	last uint64
 	at   time.Time
 
 	mu sync.Mutex
-	// left are the newest runs whose callers left.
-	left []leftRun
+	// abandoned are the newest runs whose callers left. It is guarded by mu.
+	abandoned []abandonedRun
 }
 
-// New returns the detector of a server. probe connects to it, planned reports whether it is known
-// to leave.
+// New returns the detector of a server. probe connects to the server; planned reports whether the
+// server is known to be leaving.
 func New(probe func(ctx context.Context) error, planned func() bool) *Detector {
 	return &Detector{probe: probe, planned: planned}
 }
 
-// Left notes a run whose caller left. The server may go on with it, and end.
+// Abandoned records a run whose caller left. The server may continue to run it, and crash.
 func (d *Detector) Left(now time.Time, run Run) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.left = append(d.left, leftRun{run, now})
-	if extra := len(d.left) - mostLeft; extra > 0 {
-		d.left = d.left[extra:]
+	d.abandoned = append(d.abandoned, abandonedRun{run, now})
+	if extra := len(d.abandoned) - maxAbandoned; extra > 0 {
+		d.abandoned = d.abandoned[extra:]
 	}
 }
 
-// Failed says with which requests the server ended where a run failed with an error; ok is false
-// where it did not end, leaves by plan, or cannot be told. Each run of an end tells its own request,
-// and one of them those whose callers left.
+// Failed returns the crash during which a run failed with err. ok is false if the server did not
+// crash, ended as planned, or its state cannot be determined. Each run that a crash broke reports
+// its own request, and one of them also the abandoned ones.
 func (d *Detector) Failed(run Run, err error) (end quarantine.End, ok bool) {
-	if !broke(err) || !run.Sent && !d.hasLeft() {
+	if !isConnectionError(err) || !run.Sent && !d.hasAbandoned() {
 		return end, false
 	}
-	end.ID, ok = d.endUnder(run.Began)
+	end.ID, ok = d.crashSince(run.Began)
 	if !ok {
 		return end, false
 	}
-	runs := d.takeLeft()
+	runs := d.takeAbandoned()
 	if run.Sent {
 		runs = append(runs, run)
 	}
@@ -101,9 +105,9 @@
 	return end, len(runs) > 0
 }
 
-// broke reports whether an error says that the connection of a request ended before its answer
-// did, or that there was none.
-func broke(err error) bool {
+// isConnectionError reports whether an error means that the connection of a request ended before
+// the answer was complete, or could not be established.
+func isConnectionError(err error) bool {
 	for _, sign := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNREFUSED} {
 		if errors.Is(err, sign) {
 			return true
@@ -112,8 +116,8 @@
 	return false
 }
 
-// endUnder returns the id of the server's end during a run that began at a time and broke.
-func (d *Detector) endUnder(began time.Time) (id uint64, ok bool) {
+// crashSince returns the id of the crash that broke a run which began at a given time.
+func (d *Detector) crashSince(began time.Time) (id uint64, ok bool) {
 	d.probing.Lock()
 	defer d.probing.Unlock()
 	if d.at.After(began) {
@@ -131,23 +135,23 @@
 	return d.last, true
 }
 
-// hasLeft reports whether runs are kept whose callers left.
-func (d *Detector) hasLeft() bool {
+// hasAbandoned reports whether any abandoned runs are kept.
+func (d *Detector) hasAbandoned() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.left) > 0
+	return len(d.abandoned) > 0
 }
 
-// takeLeft returns the runs that callers left a moment ago, and forgets all.
-func (d *Detector) takeLeft() []Run {
+// takeAbandoned returns the runs that were abandoned recently and clears the list.
+func (d *Detector) takeAbandoned() []Run {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var runs []Run
-	for _, r := range d.left {
-		if time.Since(r.at) <= leftTime {
+	for _, r := range d.abandoned {
+		if time.Since(r.at) <= abandonedTime {
 			runs = append(runs, r.Run)
 		}
 	}
-	d.left = nil
+	d.abandoned = nil
 	return runs
 }
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -22,7 +22,7 @@
 	two = quarantine.Content{Target: "/2"}.Digest()
 )
 
-// TestFailed: which requests a server ended under, by how a run of request one failed.
+// TestFailed checks which requests are suspected, given how a run of request one failed.
 func TestFailed(t *testing.T) {
 	tests := map[string]struct {
 		err      error
@@ -31,13 +31,13 @@
 		sent     bool
 		suspects int
 	}{
-		"the server ended":                     {io.ErrUnexpectedEOF, syscall.ECONNREFUSED, false, true, 1},
-		"it ended by a reset":                  {syscall.ECONNRESET, syscall.ECONNREFUSED, false, true, 1},
-		"one connection was reset":             {syscall.ECONNRESET, nil, false, true, 0},
-		"it ended by plan":                     {io.EOF, syscall.ECONNREFUSED, true, true, 0},
-		"nobody can tell":                      {io.EOF, context.DeadlineExceeded, false, true, 0},
-		"a wrong answer":                       {errors.New("no answer"), syscall.ECONNREFUSED, false, true, 0},
-		"it had ended before the request came": {syscall.ECONNREFUSED, syscall.ECONNREFUSED, false, false, 0},
+		"the server crashed":                       {io.ErrUnexpectedEOF, syscall.ECONNREFUSED, false, true, 1},
+		"it crashed, and the connection was reset": {syscall.ECONNRESET, syscall.ECONNREFUSED, false, true, 1},
+		"one connection was reset":                 {syscall.ECONNRESET, nil, false, true, 0},
+		"it ended as planned":                      {io.EOF, syscall.ECONNREFUSED, true, true, 0},
+		"the probe timed out":                      {io.EOF, context.DeadlineExceeded, false, true, 0},
+		"an invalid answer":                        {errors.New("no answer"), syscall.ECONNREFUSED, false, true, 0},
+		"it had crashed before the request":        {syscall.ECONNREFUSED, syscall.ECONNREFUSED, false, false, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestOneEnd: all runs that a server's end broke tell of the same end, and it is looked for once; a
-// run of its next start tells of another.
-func TestOneEnd(t *testing.T) {
+// TestOneCrash checks that all runs broken by the same crash report its id with a single probe, and
+// that a run after the restart reports another one.
+func TestOneCrash(t *testing.T) {
 	var probes atomic.Int32
 	d := crash.New(func(context.Context) error { probes.Add(1); return syscall.ECONNREFUSED }, func() bool { return false })
 	began := time.Now()
@@ -73,15 +73,16 @@
 	assert.Assert(t, ok && next.ID != first)
 }
 
-// TestCallerLeft: a run whose caller left is suspected for a moment, also where the end is found by
-// a request that could not be sent; a trial stays one.
-func TestCallerLeft(t *testing.T) {
+// TestAbandonedRun checks that a run is still suspected for a short time after its caller left,
+// even if the crash is detected by a request that could not be sent, and that a trial is still
+// reported as one.
+func TestAbandonedRun(t *testing.T) {
 	tests := map[string]struct {
 		wait     time.Duration
 		suspects int
 	}{
-		"a moment before": {100 * time.Millisecond, 1},
-		"long before":     {time.Second, 0},
+		"recently": {100 * time.Millisecond, 1},
+		"long ago": {time.Second, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/quarantine/end.go
+++ b/quarantine/crash.go
@@ -8,15 +8,15 @@
 	"slatewind.example/slatewind"
 )
 
-// End is an end of a server with the requests that it ran.
+// Crash is the unplanned end of a server process, with the requests that were running on it.
 type End struct {
-	// ID tells it from other ends.
+	// ID is unique per crash.
 	ID uint64
-	// Digests are those of the requests, Trials those of them that were trials.
+	// Digests are the running requests that were not trials, Trials those that were.
 	Digests, Trials []Digest
 }
 
-// Listed returns the journal's entry for a request that is refused from now on.
+// Decision returns the journal entry for a request that is refused from now on.
 func (v Verdict) Listed(now time.Time, digest Digest) slatewind.Decision {
 	return slatewind.Decision{
 		Time: now, Kind: slatewind.DecisionQuarantine,
@@ -25,15 +25,15 @@
 	}
 }
 
-// mostShown bounds the digests in a line.
-const mostShown = 8
+// maxShownDigests limits the number of digests in a journal entry.
+const maxShownDigests = 8
 
-// Decision returns the journal's entry for the end, made of one that names service, server and
-// request.
+// Decision returns the journal entry for the crash. Service, server and request are taken from
+// about.
 func (e End) Decision(now time.Time, about slatewind.Decision) slatewind.Decision {
-	shown := make([]string, 0, mostShown)
+	shown := make([]string, 0, maxShownDigests)
 	for _, digest := range append(append([]Digest(nil), e.Trials...), e.Digests...) {
-		if len(shown) < mostShown {
+		if len(shown) < maxShownDigests {
 			shown = append(shown, digest.String())
 		}
 	}
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -6,31 +6,33 @@
 	"encoding/hex"
 )
 
-// digestBytes is the size of a digest: no two requests that anybody can find share one.
+// digestBytes is the size of a digest in bytes, large enough that collisions cannot be found in
+// practice.
 const digestBytes = 16
 
-// shownBytes is how much of a digest is written into logs and dumps.
+// shownBytes is the number of digest bytes written to logs and state dumps.
 const shownBytes = 4
 
-// Digest stands for a request's content. It is a part of its SHA-256, so that nobody can make a
-// request for which another one is taken.
+// Digest identifies the content of a request. It is a truncated SHA-256, so that nobody can craft a
+// request with the digest of another one.
 type Digest [digestBytes]byte
 
-// String returns the beginning of the digest in hexadecimal digits.
+// String returns the first bytes of the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
 
-// Content is what makes two requests the same, wherever they begin and whatever ids they have.
+// Content holds the parts of a request that make it the same as another one, regardless of its
+// origin and request id.
 type Content struct {
-	// Workspace is the caller's, empty where it has none.
+	// Workspace is the workspace of the caller; empty if it has none.
 	Workspace string
 	Method    string
 	Host      string
-	// Target is the path with its query.
+	// Target is the path including the query.
 	Target string
 	Body   []byte
 }
 
-// Digest returns that of the content. The time it takes grows with the body.
+// Digest returns the digest of the content. Its cost grows with the size of the body.
 func (c Content) Digest() Digest {
 	sum := sha256.New()
 	for _, part := range []string{c.Workspace, c.Method, c.Host, c.Target} {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -12,37 +12,38 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// On a large service 15 servers ended under one request, six of them later than three seconds after
-// the third. Nine ended before anybody could know. The first trial was due at all processes at the
-// same moment, and until all had heard of one, as many had begun as requests came. Here it comes nine
-// times a second, second attempts included, at any of 178 processes, and news take 0.6 s: 13 servers
-// end, six of them later, where all may try it at once.
+// Parameters of a large service on which one request crashes every server. Such a request once
+// crashed 15 servers, six of them more than three seconds after the third crash: the first trial
+// was due at all processes at the same moment, and until the event of one trial had reached all of
+// them, every process that received the request began its own. Here the request arrives nine times
+// a second (retries included) at any of 178 processes and events take 0.6 s to reach all of them.
+// Without staggering, 13 servers crash, six of them late.
 const (
-	largeService = 178
-	newsTime     = 600 * time.Millisecond
-	runTime      = 50 * time.Millisecond
-	betweenRuns  = 110 * time.Millisecond
+	largeServiceSize = 178
+	publishTime      = 600 * time.Millisecond
+	runTime          = 50 * time.Millisecond
+	requestInterval  = 110 * time.Millisecond
 )
 
-// happening is something at a time of a play.
-type happening struct {
+// scheduled is a callback that is due at a point in virtual time.
+type scheduled struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-// fleetPlay is a service in virtual time: each of its processes has a table of its own.
-type fleetPlay struct {
-	tables []*quarantine.Table
-	queue  []happening
-	now    time.Time
-	ends   []time.Time
+// fleetSim simulates a service in virtual time. Each of its processes has its own table.
+type fleetSim struct {
+	tables  []*quarantine.Table
+	queue   []scheduled
+	now     time.Time
+	crashes []time.Time
 }
 
-func newFleetPlay(processes int) *fleetPlay {
-	p := &fleetPlay{now: time.Unix(1000, 0)}
+func newFleetSim(processes int) *fleetSim {
+	p := &fleetSim{now: time.Unix(1000, 0)}
 	for range processes {
 		p.tables = append(p.tables, quarantine.NewTable(func(records []quarantine.Record) {
-			p.later(newsTime, func(now time.Time) {
+			p.schedule(publishTime, func(now time.Time) {
 				for _, t := range p.tables {
 					t.Take(now, records)
 				}
@@ -52,12 +53,12 @@
 	return p
 }
 
-func (p *fleetPlay) later(after time.Duration, do func(now time.Time)) {
-	p.queue = append(p.queue, happening{p.now.Add(after), do})
+func (p *fleetSim) schedule(after time.Duration, do func(now time.Time)) {
+	p.queue = append(p.queue, scheduled{p.now.Add(after), do})
 }
 
-// run lets what is due happen until a time.
-func (p *fleetPlay) run(until time.Time) {
+// run executes the callbacks that are due up to a point in time.
+func (p *fleetSim) run(until time.Time) {
 	for {
 		i := -1
 		for j, h := range p.queue {
@@ -76,16 +77,16 @@
 	}
 }
 
-// send brings the request to a process, whose server ends if it gets it.
-func (p *fleetPlay) send(process int) {
+// send delivers the request to a process; if it is not refused, the server of that process crashes.
+func (p *fleetSim) send(process int) {
 	table := p.tables[process]
 	verdict := table.Begin(p.now, lazy(1), quarantine.Turn{Place: process, Places: len(p.tables)})
 	if verdict.Refused {
 		return
 	}
-	p.later(runTime, func(now time.Time) {
-		p.ends = append(p.ends, now)
-		end := quarantine.End{ID: uint64(len(p.ends)), Digests: []quarantine.Digest{digest(1)}}
+	p.schedule(runTime, func(now time.Time) {
+		p.crashes = append(p.crashes, now)
+		end := quarantine.End{ID: uint64(len(p.crashes)), Digests: []quarantine.Digest{digest(1)}}
 		if verdict.Trial {
 			end.Digests, end.Trials = nil, end.Digests
 		}
@@ -93,24 +94,24 @@
 	})
 }
 
-// TestLargeServiceTriesByTurns: however large a service is, a request that comes everywhere is tried
-// by few, and once in a while.
-func TestLargeServiceTriesByTurns(t *testing.T) {
+// TestTrialsAreStaggered checks that on a large service a request that arrives everywhere is tried
+// only a few times, however many processes there are.
+func TestTrialsAreStaggered(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, seed))
-			p := newFleetPlay(largeService)
-			for start := p.now; p.now.Sub(start) < 3*time.Minute; p.run(p.now.Add(betweenRuns)) {
-				p.send(random.IntN(largeService))
+			p := newFleetSim(largeServiceSize)
+			for start := p.now; p.now.Sub(start) < 3*time.Minute; p.run(p.now.Add(requestInterval)) {
+				p.send(random.IntN(largeServiceSize))
 			}
-			assert.Assert(t, len(p.ends) >= 3)
-			later := 0
-			for _, at := range p.ends {
-				if at.Sub(p.ends[2]) > 3*time.Second {
-					later++
+			assert.Assert(t, len(p.crashes) >= 3)
+			late := 0
+			for _, at := range p.crashes {
+				if at.Sub(p.crashes[2]) > 3*time.Second {
+					late++
 				}
 			}
-			assert.Assert(t, later <= 3, "%d ends, %d of them later than three seconds after the third", len(p.ends), later)
+			assert.Assert(t, late <= 3, "%d crashes, %d of them more than three seconds after the third", len(p.crashes), late)
 		})
 	}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,21 +1,21 @@
-// Package quarantine knows requests again under which servers ended, and keeps them from other
+// Package quarantine recognises requests that crash servers and keeps them from reaching further
 // servers.
 //
-// Some requests end each server that begins to run them. A breaker does not help: it speaks of
-// one server, and the next attempt takes the request to the next one that is well. So the process
-// beside a server that ended notes a digest of each request that the server ran, and tells the
-// processes beside the other servers of the service at once, and everybody with the news that
-// travel anyway. Under whom two servers ended without one answer in between, that request is
-// refused everywhere, before it is sent.
+// Some requests crash every server that begins to run them. A circuit breaker does not help: it
+// covers one server, and a retry takes the request to the next healthy one. So the sidecar of a
+// crashed server records a digest of each request that was running, sends the records at once to
+// the sidecars of the other servers of the service, and to everybody by gossip. A request under
+// which two servers crashed without an answer in between is refused everywhere before it is sent.
 //
-// A sound request may be on two servers as they end by themselves, above all one that comes often.
-// So a refusal lasts some seconds; then one run is let through as a trial, and at once where the
-// request was answered a moment before. Any whole answer acquits the request. Only a trial under
-// which the server ended too proves it; the next one comes after minutes, since a release of the
-// servers may have mended them.
+// A harmless request may be running on two servers that crash for another reason, above all one
+// that is frequent. So a refusal lasts some seconds; then one run is let through as a trial, or at
+// once if the request was answered a moment before. Any complete answer clears the request. Only a
+// trial during which the server crashed too confirms that the request is the cause; the next trial
+// then comes after minutes, since a release of the servers may have fixed the fault.
 //
-// What is known are events with ids of their own, each of which only ever becomes void. So it does
-// not matter in which order, how often and from whom a process hears of them (Table.Take).
+// Records consist of events with unique ids, and the only change an event undergoes is to become
+// void (or, for a crash, to be marked as that of a trial). So the order, the number of times and
+// the source of updates do not matter (Table.Merge).
 package quarantine
 
 import (
@@ -23,91 +23,96 @@
 	"time"
 )
 
-// Kind says what an event tells of a request.
+// Kind is the kind of an event.
 type Kind string
 
-// Kinds of events.
+// Kinds of events, with their values on the wire.
 const (
-	// KindEnd: a server ended while it ran the request.
+	// KindCrash: a server crashed while it ran the request.
 	KindEnd Kind = "end"
 	// KindTrial: a refused request was let through once.
 	KindTrial Kind = "trial"
-	// KindFailedTrial: a server ended while it ran a trial of the request.
+	// KindFailedTrial: a server crashed while it ran a trial of the request.
 	KindFailedTrial Kind = "failed-trial"
 )
 
 const (
-	// enoughEnds is under how many ends a request is refused. One server may end beside any
-	// request; of two ends without an answer in between the request is the likelier cause.
-	enoughEnds = 2
-	// firstPause is the time from the last end, or from a trial that came to nothing, to the next
-	// trial: servers are back by then, and a sound request is not refused for longer.
-	firstPause = 5 * time.Second
-	// latelyPause is that from a trial of a request that was answered lately. Its first trial
-	// does not wait.
-	latelyPause = time.Second
-	// failedPause is the time from a failed trial to the next; it doubles with each up to
-	// mostPause.
-	failedPause = 10 * time.Minute
-	mostPause   = time.Hour
-	// keepTime is how long a request is remembered after its newest event, singleTime where one
-	// server ended under it, as under many by chance, and voidTime where it was acquitted: until
-	// all have heard of that.
-	keepTime   = 2 * mostPause
-	singleTime = 10 * time.Minute
-	voidTime   = time.Minute
-	// latelyTime is how long an answer counts as lately at least, mostLately how many of them
-	// are remembered at least where there are that many.
-	latelyTime = 15 * time.Second
-	mostLately = 2048
-	// mostRecords bounds the requests that are remembered, mostEvents the events of each.
-	mostRecords = 512
-	mostEvents  = 8
-	// mostTold bounds the records of one message, some 60 bytes each.
-	mostTold = 64
+	// refuseAfterCrashes is the number of crashes after which a request is refused. A single crash
+	// may coincide with any request; after two crashes without an answer in between the request is
+	// the likelier cause.
+	refuseAfterCrashes = 2
+	// trialDelay is the time from the last crash, or from a trial without a result, to the next
+	// trial: servers have restarted by then, and a harmless request is not refused for longer.
+	trialDelay = 5 * time.Second
+	// recentTrialDelay is the time between the trials of a request that was answered recently. Its
+	// first trial does not wait.
+	recentTrialDelay = time.Second
+	// failedTrialDelay is the time from a failed trial to the next; it doubles with each failed
+	// trial up to maxFailedTrialDelay.
+	failedTrialDelay    = 10 * time.Minute
+	maxFailedTrialDelay = time.Hour
+	// keepTime is how long a record is kept after its newest event. singleCrashKeepTime applies to
+	// a request with a single crash, since many requests have one by coincidence, and
+	// clearedKeepTime to a cleared request, which is kept until all processes have received the
+	// update.
+	keepTime            = 2 * maxFailedTrialDelay
+	singleCrashKeepTime = 10 * time.Minute
+	clearedKeepTime     = time.Minute
+	// recentAnswerTime is the minimum time for which an answer counts as recent; minRecentAnswers
+	// is the number of answers that are remembered at least before the older ones are dropped
+	// early.
+	recentAnswerTime = 15 * time.Second
+	minRecentAnswers = 2048
+	// maxRecords limits the number of records, maxEvents the number of events per record.
+	maxRecords = 512
+	maxEvents  = 8
+	// maxSentRecords limits the number of records per message, at some 60 bytes each.
+	maxSentRecords = 64
 )
 
-// Event is one event as processes tell it to each other.
+// Event is an event as processes exchange it.
 type Event struct {
-	// ID is the event's own; the requests that one end of a server concerns share its id.
+	// ID is unique per event; the records of all requests that ran during one crash share its id.
 	ID   uint64
 	Kind Kind
-	// Age is how long ago it happened.
+	// Age is the time since the event.
 	Age time.Duration
-	// Void says that the request was answered since.
+	// Void is set once the request has been answered after the event.
 	Void bool
 }
 
-// Record is what is known of one request.
+// Record holds the known events of one request.
 type Record struct {
 	Digest Digest
 	Events []Event
 }
 
-// Verdict says whether a request may be sent to a server.
+// Verdict is the decision whether a request may be sent to a server.
 type Verdict struct {
-	// Refused requests must not be sent. Trial says that this run is one.
+	// Refused means that the request must not be sent, Trial that this run is a trial.
 	Refused, Trial bool
-	// Ends is how many servers ended under the request.
+	// Crashes is the number of crashes that are attributed to the request.
 	Ends int
-	// Proven says that one of them ended under a trial.
+	// Proven means that one of the crashes occurred during a trial.
 	Proven bool
 	// TrialIn is the time until the next trial of a refused request.
 	TrialIn time.Duration
 }
 
-// Turn is a process's place among those beside the servers of a service, by which they try a request
-// one after the other: a trial that is due is due everywhere, and news of one take a while.
+// Turn is the position of a process among the sidecars of a service, by which they take turns at
+// trying a request: a trial that is due is due at all of them, and it takes a while until the event
+// of one trial has reached the others.
 type Turn struct {
-	// Place is the process's from 0 on, Places how many there are; 0 is unknown.
+	// Place is the position, from 0; Places is the number of sidecars, 0 if unknown.
 	Place, Places int
 }
 
-// turnTime is the time between the trials that two processes may begin: longer than news of one take.
+// turnTime is the interval between the trials of two processes: longer than an event takes to reach
+// all of them.
 const turnTime = time.Second
 
-// delay returns how much later than the first the process may try a request. Each request has
-// another first.
+// delay returns how much later than the first process this one may try a request. The digest
+// determines which process is first.
 func (t Turn) delay(digest Digest) time.Duration {
 	if t.Places <= 0 {
 		return 0
@@ -115,16 +120,16 @@
 	return time.Duration((t.Place+int(digest[0]))%t.Places) * turnTime
 }
 
-// tellsTrial is how exactly it is told when a request is tried again.
-const tellsTrial = 100 * time.Millisecond
+// shownTrialPrecision is the rounding of the time until the next trial in messages.
+const shownTrialPrecision = 100 * time.Millisecond
 
-// Reason says to a request's caller and to operators why it is refused.
+// Reason returns the text that tells the caller of a request and operators why it is refused.
 func (v Verdict) Reason(digest Digest) string {
 	return fmt.Sprintf("quarantined: %d servers ended while they ran the request %s; it is tried again in %s",
-		v.Ends, digest, v.TrialIn.Round(tellsTrial))
+		v.Ends, digest, v.TrialIn.Round(shownTrialPrecision))
 }
 
-// View is one request in a state dump.
+// View is the state of one request in a state dump.
 type View struct {
 	Digest  string `json:"digest"`
 	Ends    int    `json:"ends"`
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// event is an event with its time by this process's clock.
+// event is an Event with its time by the clock of this process.
 type event struct {
 	id   uint64
 	kind Kind
@@ -17,8 +17,8 @@
 	void bool
 }
 
-// merge takes what another process knows of the same event. What was an end for one run of the
-// request may have been a trial's for another.
+// merge adds what another process knows of the same event. The same crash may have hit an ordinary
+// run of the request and a trial; the trial takes precedence.
 func (e *event) merge(other event) {
 	if e.kind == KindEnd && other.kind == KindFailedTrial {
 		e.kind = other.kind
@@ -26,12 +26,12 @@
 	e.void = e.void || other.void
 }
 
-// record is what is known of one request, oldest event first.
+// record holds the events of one request, oldest first.
 type record struct {
 	events []event
 }
 
-// add notes an event, or that a known one is void or was a trial's.
+// add inserts an event or merges it into the known one with the same id.
 func (r *record) add(e event) {
 	for i := range r.events {
 		if known := &r.events[i]; known.id == e.id {
@@ -41,13 +41,13 @@
 	}
 	r.events = append(r.events, e)
 	slices.SortStableFunc(r.events, func(a, b event) int { return a.at.Compare(b.at) })
-	if len(r.events) > mostEvents {
+	if len(r.events) > maxEvents {
 		r.drop()
 	}
 }
 
-// drop forgets the oldest void event, or else the oldest trial, or else the oldest: what decides
-// are the newest and the failed trials.
+// drop removes the oldest void event, or else the oldest trial, or else the oldest event: the
+// newest events and the failed trials determine the verdict.
 func (r *record) drop() {
 	i := slices.IndexFunc(r.events, func(e event) bool { return e.void })
 	if i < 0 {
@@ -56,7 +56,7 @@
 	r.events = slices.Delete(r.events, max(i, 0), max(i, 0)+1)
 }
 
-// count returns how many events of some kinds count.
+// count returns the number of events of the given kinds that are not void.
 func (r *record) count(kinds ...Kind) (n int) {
 	for _, e := range r.events {
 		if !e.void && slices.Contains(kinds, e.kind) {
@@ -66,84 +66,85 @@
 	return n
 }
 
-// ends returns how many servers ended under the request since it was last answered.
-func (r *record) ends() int { return r.count(KindEnd, KindFailedTrial) }
+// crashes returns the number of crashes under the request since it was last answered.
+func (r *record) crashes() int { return r.count(KindEnd, KindFailedTrial) }
 
 // newest returns the time of the newest event.
 func (r *record) newest() time.Time { return r.events[len(r.events)-1].at }
 
-// pause returns how long after the newest event the next trial comes; lately says that the request
-// was answered shortly before the first.
-func (r *record) pause(lately bool) time.Duration {
+// nextTrialDelay returns the time from the newest event to the next trial. recent means that the
+// request was answered shortly before the first crash.
+func (r *record) nextTrialDelay(recent bool) time.Duration {
 	failed, trials := r.count(KindFailedTrial), r.count(KindTrial)
 	switch {
 	case failed > 0:
-		return min(failedPause<<(failed-1), mostPause)
-	case lately && trials == 0:
+		return min(failedTrialDelay<<(failed-1), maxFailedTrialDelay)
+	case recent && trials == 0:
 		return 0
-	case lately:
-		return latelyPause
+	case recent:
+		return recentTrialDelay
 	}
-	return firstPause
+	return trialDelay
 }
 
-// charged returns how many ends are the request's to answer for: those that no other request was
-// part of under which more servers ended. Most is the highest number of ends of all requests of
-// an end.
-func (r *record) charged(most map[uint64]int) (n int) {
-	own := r.ends()
+// attributed returns the number of crashes that are attributed to the request: those in which no
+// request took part that has more crashes. maxCrashes is, by id of a crash, the highest number of
+// crashes of any request that took part in it.
+func (r *record) attributed(maxCrashes map[uint64]int) (n int) {
+	own := r.crashes()
 	for _, e := range r.events {
-		if !e.void && e.kind != KindTrial && most[e.id] <= own {
+		if !e.void && e.kind != KindTrial && maxCrashes[e.id] <= own {
 			n++
 		}
 	}
 	return n
 }
 
-// verdict returns whether the request may be sent now, by how many ends it has to answer for. It
-// does not decide who makes the trial; delay is how much later than the first this process may.
-func (r *record) verdict(now time.Time, charged int, lately bool, delay time.Duration) Verdict {
-	v := Verdict{Ends: charged, Proven: r.count(KindFailedTrial) > 0}
-	if v.Ends < enoughEnds {
+// verdict returns whether the request may be sent now, given the number of crashes attributed to
+// it. It does not decide which process makes the trial; delay is how much later than the first
+// process this one may.
+func (r *record) verdict(now time.Time, attributed int, recent bool, delay time.Duration) Verdict {
+	v := Verdict{Ends: attributed, Proven: r.count(KindFailedTrial) > 0}
+	if v.Ends < refuseAfterCrashes {
 		return v
 	}
-	if lately {
+	if recent {
 		delay = 0
 	}
-	v.TrialIn = max(r.newest().Add(r.pause(lately)+delay).Sub(now), 0)
+	v.TrialIn = max(r.newest().Add(r.nextTrialDelay(recent)+delay).Sub(now), 0)
 	v.Refused, v.Trial = v.TrialIn > 0, v.TrialIn == 0
 	return v
 }
 
-// answered voids all events.
+// answered marks all events as void.
 func (r *record) answered() {
 	for i := range r.events {
 		r.events[i].void = true
 	}
 }
 
-// over reports whether the request is to be forgotten.
-func (r *record) over(now time.Time) bool {
+// expired reports whether the record is due for removal.
+func (r *record) expired(now time.Time) bool {
 	keep := keepTime
-	switch n := r.ends(); {
+	switch n := r.crashes(); {
 	case n == 0:
-		keep = voidTime
-	case n < enoughEnds:
-		keep = singleTime
+		keep = clearedKeepTime
+	case n < refuseAfterCrashes:
+		keep = singleCrashKeepTime
 	}
 	return now.Sub(r.newest()) > keep
 }
 
-// told returns the record for other processes.
-func (r *record) told(now time.Time, digest Digest) Record {
-	told := Record{Digest: digest}
+// export returns the record in the form that processes exchange.
+func (r *record) export(now time.Time, digest Digest) Record {
+	exported := Record{Digest: digest}
 	for _, e := range r.events {
-		told.Events = append(told.Events, Event{ID: e.id, Kind: e.kind, Age: max(now.Sub(e.at), 0), Void: e.void})
+		exported.Events = append(exported.Events, Event{ID: e.id, Kind: e.kind, Age: max(now.Sub(e.at), 0), Void: e.void})
 	}
-	return told
+	return exported
 }
 
-// sum returns a hash by which two processes find out whether they know the same.
+// sum returns a hash by which two processes find out whether their records are equal.
 func (r *record) sum(digest Digest) uint64 {
 	var total uint64
 	for _, e := range r.events {
@@ -158,8 +159,8 @@
 	return total
 }
 
-// order compares records by which is the first to go where there are too many: acquitted ones,
-// those with the fewest ends, the oldest.
+// order compares records by how early they are evicted when there are too many: first cleared ones,
+// then those with the fewest crashes, then the oldest.
 func (r *record) order(other *record) int {
-	return cmp.Or(cmp.Compare(r.ends(), other.ends()), r.newest().Compare(other.newest()))
+	return cmp.Or(cmp.Compare(r.crashes(), other.crashes()), r.newest().Compare(other.newest()))
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,42 +10,43 @@
 	"time"
 )
 
-// Table holds what a process knows of requests under which servers ended. It is safe for use by
-// several goroutines.
+// Table holds what a process knows of requests under which servers crashed. It is safe for
+// concurrent use.
 type Table struct {
-	// spread tells others of news at once, listed is called when a request begins to be
-	// refused. Both are called without the lock; nil does nothing.
-	spread func([]Record)
-	listed func(Digest, Verdict)
+	// publish sends new records to other processes at once; onRefused is called when a request
+	// begins to be refused. Both are called without the lock held and are never nil.
+	publish   func([]Record)
+	onRefused func(Digest, Verdict)
 
-	// size is the number of records: almost always there are none, and then nothing is to be
-	// worked out for a request.
+	// size is the number of records. It is almost always 0, and then no digest has to be computed
+	// for a request.
 	size atomic.Int64
 
 	mu      sync.Mutex
 	records map[Digest]*record
-	// most holds the highest number of ends of all requests that were part of an end, by its id.
-	most map[uint64]int
-	// lately are the requests that were answered here lately.
-	lately answers
+	// maxCrashes holds, by id of a crash, the highest number of crashes of any request that took
+	// part in it. It is guarded by mu, as are records and recent.
+	maxCrashes map[uint64]int
+	// recent is the set of requests that were answered recently at this process.
+	recent recentAnswers
 }
 
-// NewTable returns an empty table. What happens beside this process goes to spread, and requests
-// that begin to be refused, by whoever's word, to listed. Either may be nil.
-func NewTable(spread func([]Record), listed func(Digest, Verdict)) *Table {
-	if spread == nil {
-		spread = func([]Record) {}
+// NewTable returns an empty table. Local events are passed to publish, requests that begin to be
+// refused, whatever the source of the events, to onRefused. Either may be nil.
+func NewTable(publish func([]Record), onRefused func(Digest, Verdict)) *Table {
+	if publish == nil {
+		publish = func([]Record) {}
 	}
-	if listed == nil {
-		listed = func(Digest, Verdict) {}
+	if onRefused == nil {
+		onRefused = func(Digest, Verdict) {}
 	}
-	return &Table{spread: spread, listed: listed, records: map[Digest]*record{}}
+	return &Table{publish: publish, onRefused: onRefused, records: map[Digest]*record{}}
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether there are no records.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Check says whether a request may be sent. It is for those who do not run it themselves.
+// Check returns whether a request may be sent, for processes that do not run it themselves.
 func (t *Table) Check(now time.Time, digest func() Digest) Verdict {
 	if t.Empty() {
 		return Verdict{}
@@ -59,61 +60,63 @@
 	return Verdict{}
 }
 
-// verdict returns that of a known request for a process with a turn. The lock is held.
+// verdict returns the verdict on a request with a record, for the process with the given turn. The
+// lock is held.
 func (t *Table) verdict(now time.Time, digest Digest, r *record, turn Turn) Verdict {
-	return r.verdict(now, r.charged(t.most), t.lately.has(now, digest), turn.delay(digest))
+	return r.verdict(now, r.attributed(t.maxCrashes), t.recent.has(now, digest), turn.delay(digest))
 }
 
-// weigh works out anew which requests were part of most ends. Others that were on the same servers
-// need not answer for these. The lock is held.
-func (t *Table) weigh() {
-	t.most = map[uint64]int{}
+// recountCrashes recomputes maxCrashes. A crash is not attributed to the requests with fewer
+// crashes that ran on the same server. The lock is held.
+func (t *Table) recountCrashes() {
+	t.maxCrashes = map[uint64]int{}
 	for _, r := range t.records {
 		for _, e := range r.events {
-			t.most[e.id] = max(t.most[e.id], r.ends())
+			t.maxCrashes[e.id] = max(t.maxCrashes[e.id], r.crashes())
 		}
 	}
 }
 
-// known returns what is known of a request, or nil. The lock is held.
+// known returns the record of a request, or nil if there is none or it has expired. The lock is
+// held.
 func (t *Table) known(now time.Time, digest Digest) *record {
 	r := t.records[digest]
-	if r == nil || r.over(now) {
+	if r == nil || r.expired(now) {
 		return nil
 	}
 	return r
 }
 
-// Begin says whether a server may be given a request now, by the turn of the process beside it. Where
-// that is a trial, all are told, so that there is one at a time.
+// Begin returns whether a request may be passed to the server now, given the turn of its sidecar. A
+// trial is published to all processes, so that there is one at a time.
 func (t *Table) Begin(now time.Time, digest func() Digest, turn Turn) Verdict {
 	if t.Empty() {
 		return Verdict{}
 	}
 	d := digest()
-	v, told := t.begin(now, d, turn)
+	v, record := t.begin(now, d, turn)
 	if v.Trial {
-		t.spread([]Record{told})
+		t.publish([]Record{record})
 	}
 	return v
 }
 
-func (t *Table) begin(now time.Time, digest Digest, turn Turn) (v Verdict, told Record) {
+func (t *Table) begin(now time.Time, digest Digest, turn Turn) (v Verdict, record Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.known(now, digest)
 	if r == nil {
-		return v, told
+		return v, record
 	}
 	v = t.verdict(now, digest, r, turn)
 	if v.Trial {
 		r.add(event{id: rand.Uint64(), kind: KindTrial, at: now})
-		told = r.told(now, digest)
+		record = r.export(now, digest)
 	}
-	return v, told
+	return v, record
 }
 
-// Ended notes that a server ended, and tells others.
+// ServerCrashed records a crash and publishes it.
 func (t *Table) Ended(now time.Time, end End) {
 	var records []Record
 	for _, digest := range end.Digests {
@@ -123,70 +126,70 @@
 		records = append(records, Record{digest, []Event{{ID: end.ID, Kind: KindFailedTrial}}})
 	}
 	t.Take(now, records)
-	t.spread(records)
+	t.publish(records)
 }
 
-// Answered notes that a server answered a request wholly: it does not end those that run it.
-// Others are told at once where that lets it through again.
+// Answered records that a server answered a request completely, so that the request is not the
+// cause of crashes. It is published at once if the request was refused until now.
 func (t *Table) Answered(now time.Time, digest Digest) {
-	if told, acquitted := t.answered(now, digest); acquitted {
-		t.spread([]Record{told})
+	if record, cleared := t.answered(now, digest); cleared {
+		t.publish([]Record{record})
 	}
 }
 
-func (t *Table) answered(now time.Time, digest Digest) (told Record, acquitted bool) {
+func (t *Table) answered(now time.Time, digest Digest) (record Record, cleared bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lately.add(now, digest)
+	t.recent.add(now, digest)
 	r := t.known(now, digest)
 	if r == nil {
-		return told, false
+		return record, false
 	}
-	acquitted = r.ends() >= enoughEnds
+	cleared = r.crashes() >= refuseAfterCrashes
 	r.answered()
-	t.weigh()
-	return r.told(now, digest), acquitted
+	t.recountCrashes()
+	return r.export(now, digest), cleared
 }
 
-// Take takes what another process told. The order in which it comes does not matter.
+// Merge adds records received from another process. Their order does not matter.
 func (t *Table) Take(now time.Time, records []Record) {
 	if len(records) == 0 {
 		return
 	}
 	for _, digest := range t.take(now, records) {
-		t.listed(digest, t.Check(now, func() Digest { return digest }))
+		t.onRefused(digest, t.Check(now, func() Digest { return digest }))
 	}
 }
 
-// take returns which requests are refused from now on.
+// merge returns the requests that are refused from now on.
 func (t *Table) take(now time.Time, records []Record) (refused []Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, told := range records {
-		r := t.known(now, told.Digest)
-		before := r != nil && r.ends() >= enoughEnds
+	for _, received := range records {
+		r := t.known(now, received.Digest)
+		before := r != nil && r.crashes() >= refuseAfterCrashes
 		if r == nil {
 			r = &record{}
 		}
-		for _, e := range told.Events {
+		for _, e := range received.Events {
 			r.add(event{id: e.ID, kind: e.Kind, at: now.Add(-e.Age), void: e.Void})
 		}
-		if len(r.events) == 0 || r.over(now) {
+		if len(r.events) == 0 || r.expired(now) {
 			continue
 		}
-		t.records[told.Digest] = r
-		if !before && r.ends() >= enoughEnds {
-			refused = append(refused, told.Digest)
+		t.records[received.Digest] = r
+		if !before && r.crashes() >= refuseAfterCrashes {
+			refused = append(refused, received.Digest)
 		}
 	}
 	t.sweep(now)
 	return refused
 }
 
-// sweep forgets what is over and keeps the table in its bound. The lock is held.
+// sweep removes expired records and evicts others down to the limit of the table. The lock is held.
 func (t *Table) sweep(now time.Time) {
-	maps.DeleteFunc(t.records, func(_ Digest, r *record) bool { return r.over(now) })
-	for len(t.records) > mostRecords {
+	maps.DeleteFunc(t.records, func(_ Digest, r *record) bool { return r.expired(now) })
+	for len(t.records) > maxRecords {
 		var first Digest
 		var least *record
 		for digest, r := range t.records {
@@ -197,66 +200,67 @@
 		delete(t.records, first)
 	}
 	t.size.Store(int64(len(t.records)))
-	t.weigh()
+	t.recountCrashes()
 }
 
-// Record returns what is known of one request, for who asked to send it.
+// Record returns the record of one request, for the process that asked to send it.
 func (t *Table) Record(now time.Time, digest Digest) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.known(now, digest); r != nil {
-		return r.told(now, digest)
+		return r.export(now, digest)
 	}
 	return Record{Digest: digest}
 }
 
-// Records returns what other processes are told.
+// Records returns the records that are sent to other processes.
 func (t *Table) Records(now time.Time) (records []Record) {
 	if t.Empty() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, digest := range t.told(now) {
-		records = append(records, t.records[digest].told(now, digest))
+	for _, digest := range t.sent(now) {
+		records = append(records, t.records[digest].export(now, digest))
 	}
 	return records
 }
 
-// Sum returns a hash of what other processes are told, 0 for nothing. Two processes with the same
-// one need not tell each other anything.
+// Sum returns a hash of the records that are sent to other processes, 0 for none. Two processes
+// with equal sums have nothing to exchange.
 func (t *Table) Sum(now time.Time) (sum uint64) {
 	if t.Empty() {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, digest := range t.told(now) {
+	for _, digest := range t.sent(now) {
 		sum ^= t.records[digest].sum(digest)
 	}
 	return sum
 }
 
-// told returns the requests of which others are told: where there are too many for a message, those
-// under which most servers ended, and the newest of these. The lock is held.
-func (t *Table) told(now time.Time) []Digest {
+// sent returns the digests of the records that are sent to other processes. If there are too many
+// for a message, those with the most crashes are chosen, and the newest among these. The lock is
+// held.
+func (t *Table) sent(now time.Time) []Digest {
 	t.sweep(now)
 	digests := slices.Collect(maps.Keys(t.records))
-	if len(digests) > mostTold {
+	if len(digests) > maxSentRecords {
 		slices.SortFunc(digests, func(a, b Digest) int { return t.records[b].order(t.records[a]) })
-		digests = digests[:mostTold]
+		digests = digests[:maxSentRecords]
 	}
 	return digests
 }
 
-// Views returns the requests under which servers ended, in the order of their digests.
+// Views returns the state of the requests under which servers crashed, sorted by digest.
 func (t *Table) Views(now time.Time) []View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var views []View
 	for digest, r := range t.records {
 		v := t.verdict(now, digest, r, Turn{})
-		if v.Ends > 0 && !r.over(now) {
+		if v.Ends > 0 && !r.expired(now) {
 			views = append(views, View{Digest: digest.String(), Ends: v.Ends, Refused: v.Refused, TrialInMs: v.TrialIn.Milliseconds()})
 		}
 	}
