--- a/cli/state.go
+++ b/cli/state.go
@@ -102,7 +102,7 @@
 		line("limit\t%s\t%s\t%g a second, burst %g\t%.1f tokens left", u.Workspace, u.Role, u.Rate, u.Burst, u.Level)
 	}
 	for _, r := range s.Suspects {
-		line("suspect\trequest %s\t%d servers ended\trefused %t\ttrial in %s", r.Digest, r.Ends, r.Refused, time.Duration(r.TrialInMs)*time.Millisecond)
+		line("suspect\trequest %s\t%d servers ended\trefused %t\ttrial in %s", r.Digest, r.Crashes, r.Refused, time.Duration(r.TrialInMs)*time.Millisecond)
 	}
 	for _, m := range s.Members {
 		line("member\t%s\t%s\t%s\tby %s\t%s ago", m.VM, m.DataCentre, m.State, m.Source, s.Time.Sub(m.Updated).Round(time.Second))
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -71,7 +71,7 @@
 }
 
 // Abandoned records a run whose caller left. The server may continue to run it, and crash.
-func (d *Detector) Left(now time.Time, run Run) {
+func (d *Detector) Abandoned(now time.Time, run Run) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.abandoned = append(d.abandoned, abandonedRun{run, now})
@@ -83,7 +83,7 @@
 // Failed returns the crash during which a run failed with err. ok is false if the server did not
 // crash, ended as planned, or its state cannot be determined. Each run that a crash broke reports
 // its own request, and one of them also the abandoned ones.
-func (d *Detector) Failed(run Run, err error) (end quarantine.End, ok bool) {
+func (d *Detector) Failed(run Run, err error) (end quarantine.Crash, ok bool) {
 	if !isConnectionError(err) || !run.Sent && !d.hasAbandoned() {
 		return end, false
 	}
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -81,14 +81,14 @@
 		wait     time.Duration
 		suspects int
 	}{
-		"recently": {100 * time.Millisecond, 1},
-		"long ago": {time.Second, 0},
+		"a moment before": {100 * time.Millisecond, 1},
+		"long ago":        {time.Second, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := crash.New(func(context.Context) error { return syscall.ECONNREFUSED }, func() bool { return false })
-				d.Left(time.Now(), crash.Run{Digest: two, Trial: true})
+				d.Abandoned(time.Now(), crash.Run{Digest: two, Trial: true})
 				time.Sleep(test.wait)
 				end, _ := d.Failed(crash.Run{Digest: one, Began: time.Now()}, syscall.ECONNREFUSED)
 				assert.Equal(t, len(end.Trials), test.suspects)
--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -82,7 +82,7 @@
 }
 
 // told takes what has just happened beside another node.
-func (n *Node) told(records []quarantine.Record) { n.suspects.Take(time.Now(), records) }
+func (n *Node) told(records []quarantine.Record) { n.suspects.Merge(time.Now(), records) }
 
 // takeReports notes what was told of sick servers.
 func (n *Node) takeReports(reports []*slatewindv1.ServerReport) {
--- a/daemon/nodequarantine.go
+++ b/daemon/nodequarantine.go
@@ -106,7 +106,7 @@
 
 // listed writes down that a request is refused from now on.
 func (n *Node) listed(digest quarantine.Digest, verdict quarantine.Verdict) {
-	entry := verdict.Listed(time.Now(), digest)
+	entry := verdict.Decision(time.Now(), digest)
 	entry.Service = n.settings.GetLocalServer().GetService()
 	n.history.Add(entry)
 }
@@ -125,13 +125,13 @@
 // takeSuspects takes what came with an answer.
 func (n *Node) takeSuspects(told link.Suspects) {
 	n.spreader.heard.Store(told.Sum)
-	n.suspects.Take(time.Now(), told.Records)
+	n.suspects.Merge(time.Now(), told.Records)
 }
 
 // exchangeSuspects takes what another process told and returns what that one does not know.
 func (n *Node) exchangeSuspects(told link.Suspects) link.Suspects {
 	now := time.Now()
-	n.suspects.Take(now, told.Records)
+	n.suspects.Merge(now, told.Records)
 	own := link.Suspects{Sum: n.suspects.Sum(now)}
 	if own.Sum != told.Sum {
 		own.Records = n.suspects.Records(now)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -16,7 +16,7 @@
 func (p *Process) newSuspects() *quarantine.Table {
 	spread := func(records []quarantine.Record) { p.gossip.Tell(p.sameServices(), link.SuspectsOf(records)) }
 	listed := func(digest quarantine.Digest, verdict quarantine.Verdict) {
-		p.journal.Add(verdict.Listed(time.Now(), digest))
+		p.journal.Add(verdict.Decision(time.Now(), digest))
 	}
 	return quarantine.NewTable(spread, listed)
 }
@@ -54,5 +54,5 @@
 
 // HeardSuspects implements gossip.Events.
 func (p *Process) HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect) {
-	p.suspects.Take(now, link.RecordsOf(suspects))
+	p.suspects.Merge(now, link.RecordsOf(suspects))
 }
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -227,7 +227,7 @@
 // endsKnown returns how many ends under the request with the most a node knows of.
 func (f *nodes) endsKnown(i int) (ends int) {
 	for _, view := range f.nodes[i].suspects.Views(time.Now()) {
-		ends = max(ends, view.Ends)
+		ends = max(ends, view.Crashes)
 	}
 	return ends
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -157,7 +157,7 @@
 
 // HeardSuspects implements Events.
 func (n *node) HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect) {
-	n.suspects.Take(now, link.RecordsOf(suspects))
+	n.suspects.Merge(now, link.RecordsOf(suspects))
 }
 
 // TestSuspectsAreTold: what is to be told goes with the exchange, also where others are told of.
@@ -167,7 +167,7 @@
 		nodes := c.addAll(2)
 		time.Sleep(2 * time.Second)
 		nodes[0].gossip.Tell([]string{vmName(1)}, link.SuspectsOf([]quarantine.Record{{
-			Digest: quarantine.Digest{2}, Events: []quarantine.Event{{ID: 1, Kind: quarantine.KindEnd}},
+			Digest: quarantine.Digest{2}, Events: []quarantine.Event{{ID: 1, Kind: quarantine.KindCrash}},
 		}}))
 		time.Sleep(50 * time.Millisecond)
 		assert.Equal(t, len(nodes[1].suspects.Views(time.Now())), 1)
@@ -181,7 +181,7 @@
 		c := newCluster(t)
 		nodes := c.addAll(12)
 		time.Sleep(2 * time.Second)
-		nodes[0].suspects.Ended(time.Now(), quarantine.End{ID: 1, Digests: []quarantine.Digest{{1}}})
+		nodes[0].suspects.ServerCrashed(time.Now(), quarantine.Crash{ID: 1, Digests: []quarantine.Digest{{1}}})
 		nodes[0].gossip.Tell([]string{vmName(1), vmName(2)}, nil)
 		time.Sleep(50 * time.Millisecond)
 		for _, n := range nodes[1:3] {
--- a/inbound/quarantine.go
+++ b/inbound/quarantine.go
@@ -53,7 +53,7 @@
 func (u *use) recordServerExit(ctx context.Context, sent bool, err error) *slatewindv1.Suspect {
 	now := time.Now()
 	if ctx.Err() != nil {
-		u.in.crashes.Left(now, u.crashRun(sent))
+		u.in.crashes.Abandoned(now, u.crashRun(sent))
 		return nil
 	}
 	end, ok := u.in.crashes.Failed(u.crashRun(sent), err)
@@ -61,6 +61,6 @@
 		return nil
 	}
 	u.in.journal.Add(end.Decision(now, slatewind.Decision{Service: u.in.server.Service, Server: u.in.serverName(), Request: u.id}))
-	u.in.suspects.Ended(now, end)
+	u.in.suspects.ServerCrashed(now, end)
 	return link.SuspectOf(u.in.suspects.Record(now, u.digest()))
 }
--- a/outbound/quarantine.go
+++ b/outbound/quarantine.go
@@ -27,7 +27,7 @@
 // may be nil.
 func (o *Outbound) recordSuspect(suspect *slatewindv1.Suspect) {
 	if suspect != nil {
-		o.suspects.Take(time.Now(), link.RecordsOf([]*slatewindv1.Suspect{suspect}))
+		o.suspects.Merge(time.Now(), link.RecordsOf([]*slatewindv1.Suspect{suspect}))
 	}
 }
 
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -45,7 +45,7 @@
 		p.tables = append(p.tables, quarantine.NewTable(func(records []quarantine.Record) {
 			p.schedule(publishTime, func(now time.Time) {
 				for _, t := range p.tables {
-					t.Take(now, records)
+					t.Merge(now, records)
 				}
 			})
 		}, nil))
@@ -86,11 +86,11 @@
 	}
 	p.schedule(runTime, func(now time.Time) {
 		p.crashes = append(p.crashes, now)
-		end := quarantine.End{ID: uint64(len(p.crashes)), Digests: []quarantine.Digest{digest(1)}}
+		end := quarantine.Crash{ID: uint64(len(p.crashes)), Digests: []quarantine.Digest{digest(1)}}
 		if verdict.Trial {
 			end.Digests, end.Trials = nil, end.Digests
 		}
-		table.Ended(now, end)
+		table.ServerCrashed(now, end)
 	})
 }
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -29,7 +29,7 @@
 // Kinds of events, with their values on the wire.
 const (
 	// KindCrash: a server crashed while it ran the request.
-	KindEnd Kind = "end"
+	KindCrash Kind = "end"
 	// KindTrial: a refused request was let through once.
 	KindTrial Kind = "trial"
 	// KindFailedTrial: a server crashed while it ran a trial of the request.
@@ -92,7 +92,7 @@
 	// Refused means that the request must not be sent, Trial that this run is a trial.
 	Refused, Trial bool
 	// Crashes is the number of crashes that are attributed to the request.
-	Ends int
+	Crashes int
 	// Proven means that one of the crashes occurred during a trial.
 	Proven bool
 	// TrialIn is the time until the next trial of a refused request.
@@ -126,13 +126,13 @@
 // Reason returns the text that tells the caller of a request and operators why it is refused.
 func (v Verdict) Reason(digest Digest) string {
 	return fmt.Sprintf("quarantined: %d servers ended while they ran the request %s; it is tried again in %s",
-		v.Ends, digest, v.TrialIn.Round(shownTrialPrecision))
+		v.Crashes, digest, v.TrialIn.Round(shownTrialPrecision))
 }
 
 // View is the state of one request in a state dump.
 type View struct {
 	Digest  string `json:"digest"`
-	Ends    int    `json:"ends"`
+	Crashes int    `json:"ends"`
 	Refused bool   `json:"refused"`
 	// TrialInMs is the time until the next trial of a refused request, in milliseconds.
 	TrialInMs int64 `json:"trial_in_ms,omitempty"`
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -20,7 +20,7 @@
 // merge adds what another process knows of the same event. The same crash may have hit an ordinary
 // run of the request and a trial; the trial takes precedence.
 func (e *event) merge(other event) {
-	if e.kind == KindEnd && other.kind == KindFailedTrial {
+	if e.kind == KindCrash && other.kind == KindFailedTrial {
 		e.kind = other.kind
 	}
 	e.void = e.void || other.void
@@ -67,7 +67,7 @@
 }
 
 // crashes returns the number of crashes under the request since it was last answered.
-func (r *record) crashes() int { return r.count(KindEnd, KindFailedTrial) }
+func (r *record) crashes() int { return r.count(KindCrash, KindFailedTrial) }
 
 // newest returns the time of the newest event.
 func (r *record) newest() time.Time { return r.events[len(r.events)-1].at }
@@ -104,8 +104,8 @@
 // it. It does not decide which process makes the trial; delay is how much later than the first
 // process this one may.
 func (r *record) verdict(now time.Time, attributed int, recent bool, delay time.Duration) Verdict {
-	v := Verdict{Ends: attributed, Proven: r.count(KindFailedTrial) > 0}
-	if v.Ends < refuseAfterCrashes {
+	v := Verdict{Crashes: attributed, Proven: r.count(KindFailedTrial) > 0}
+	if v.Crashes < refuseAfterCrashes {
 		return v
 	}
 	if recent {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -117,15 +117,15 @@
 }
 
 // ServerCrashed records a crash and publishes it.
-func (t *Table) Ended(now time.Time, end End) {
+func (t *Table) ServerCrashed(now time.Time, crash Crash) {
 	var records []Record
-	for _, digest := range end.Digests {
-		records = append(records, Record{digest, []Event{{ID: end.ID, Kind: KindEnd}}})
+	for _, digest := range crash.Digests {
+		records = append(records, Record{digest, []Event{{ID: crash.ID, Kind: KindCrash}}})
 	}
-	for _, digest := range end.Trials {
-		records = append(records, Record{digest, []Event{{ID: end.ID, Kind: KindFailedTrial}}})
+	for _, digest := range crash.Trials {
+		records = append(records, Record{digest, []Event{{ID: crash.ID, Kind: KindFailedTrial}}})
 	}
-	t.Take(now, records)
+	t.Merge(now, records)
 	t.publish(records)
 }
 
@@ -152,17 +152,17 @@
 }
 
 // Merge adds records received from another process. Their order does not matter.
-func (t *Table) Take(now time.Time, records []Record) {
+func (t *Table) Merge(now time.Time, records []Record) {
 	if len(records) == 0 {
 		return
 	}
-	for _, digest := range t.take(now, records) {
+	for _, digest := range t.merge(now, records) {
 		t.onRefused(digest, t.Check(now, func() Digest { return digest }))
 	}
 }
 
 // merge returns the requests that are refused from now on.
-func (t *Table) take(now time.Time, records []Record) (refused []Digest) {
+func (t *Table) merge(now time.Time, records []Record) (refused []Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, received := range records {
@@ -260,8 +260,8 @@
 	var views []View
 	for digest, r := range t.records {
 		v := t.verdict(now, digest, r, Turn{})
-		if v.Ends > 0 && !r.expired(now) {
-			views = append(views, View{Digest: digest.String(), Ends: v.Ends, Refused: v.Refused, TrialInMs: v.TrialIn.Milliseconds()})
+		if v.Crashes > 0 && !r.expired(now) {
+			views = append(views, View{Digest: digest.String(), Crashes: v.Crashes, Refused: v.Refused, TrialInMs: v.TrialIn.Milliseconds()})
 		}
 	}
 	slices.SortFunc(views, func(a, b View) int { return strings.Compare(a.Digest, b.Digest) })
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -26,13 +26,13 @@
 
 // crashed records a crash under request 1.
 func crashed(table *quarantine.Table, at time.Time, id uint64) {
-	table.Ended(at, quarantine.End{ID: id, Digests: []quarantine.Digest{digest(1)}})
+	table.ServerCrashed(at, quarantine.Crash{ID: id, Digests: []quarantine.Digest{digest(1)}})
 }
 
 // failedTrial records a trial of request 1 and a crash during it.
 func failedTrial(table *quarantine.Table, at time.Time, id uint64) {
 	table.Begin(at, lazy(1), quarantine.Turn{})
-	table.Ended(at, quarantine.End{ID: id, Trials: []quarantine.Digest{digest(1)}})
+	table.ServerCrashed(at, quarantine.Crash{ID: id, Trials: []quarantine.Digest{digest(1)}})
 }
 
 // TestVerdicts checks the verdict on request 1 at a time after the start, given earlier events.
@@ -104,10 +104,10 @@
 // still is.
 func TestUnrelatedRequestsAreReleased(t *testing.T) {
 	table, now := quarantine.NewTable(nil, nil), time.Now()
-	table.Ended(now, quarantine.End{ID: 1, Digests: []quarantine.Digest{digest(1), digest(2)}})
-	table.Ended(now, quarantine.End{ID: 2, Digests: []quarantine.Digest{digest(1), digest(2)}})
+	table.ServerCrashed(now, quarantine.Crash{ID: 1, Digests: []quarantine.Digest{digest(1), digest(2)}})
+	table.ServerCrashed(now, quarantine.Crash{ID: 2, Digests: []quarantine.Digest{digest(1), digest(2)}})
 	assert.Assert(t, table.Check(now, lazy(2)).Refused, "the two requests cannot be told apart yet")
-	table.Ended(now, quarantine.End{ID: 3, Digests: []quarantine.Digest{digest(1), digest(3)}})
+	table.ServerCrashed(now, quarantine.Crash{ID: 3, Digests: []quarantine.Digest{digest(1), digest(3)}})
 	assert.Assert(t, table.Check(now, lazy(1)).Refused)
 	assert.Assert(t, !table.Check(now, lazy(2)).Refused)
 	assert.Assert(t, !table.Check(now, lazy(3)).Refused)
@@ -124,11 +124,11 @@
 			continue
 		}
 		crashes++
-		end := quarantine.End{ID: uint64(crashes), Digests: []quarantine.Digest{digest(1)}}
+		end := quarantine.Crash{ID: uint64(crashes), Digests: []quarantine.Digest{digest(1)}}
 		if verdict.Trial {
-			end = quarantine.End{ID: uint64(crashes), Trials: []quarantine.Digest{digest(1)}}
+			end = quarantine.Crash{ID: uint64(crashes), Trials: []quarantine.Digest{digest(1)}}
 		}
-		table.Ended(now, end)
+		table.ServerCrashed(now, end)
 	}
 	assert.Equal(t, crashes, 3)
 }
@@ -143,29 +143,29 @@
 		second := quarantine.NewTable(func(records []quarantine.Record) { published = append(published, records) }, nil)
 		for i := range rapid.IntRange(1, 12).Draw(rt, "events") {
 			now := start.Add(time.Duration(i) * time.Second)
-			at := rapid.SampledFrom([]*quarantine.Table{first, second}).Draw(rt, "process")
-			switch rapid.SampledFrom([]string{"end", "answer", "run", "receive"}).Draw(rt, "what") {
+			at := rapid.SampledFrom([]*quarantine.Table{first, second}).Draw(rt, "beside")
+			switch rapid.SampledFrom([]string{"end", "answer", "run", "hear"}).Draw(rt, "what") {
 			case "end":
-				at.Ended(now, quarantine.End{ID: uint64(i + 1), Digests: []quarantine.Digest{digest(rapid.IntRange(1, 2).Draw(rt, "request"))}})
+				at.ServerCrashed(now, quarantine.Crash{ID: uint64(i + 1), Digests: []quarantine.Digest{digest(rapid.IntRange(1, 2).Draw(rt, "request"))}})
 			case "answer":
 				at.Answered(now, digest(rapid.IntRange(1, 2).Draw(rt, "request")))
 			case "run":
 				at.Begin(now, lazy(rapid.IntRange(1, 2).Draw(rt, "request")), quarantine.Turn{})
-			case "receive":
-				at.Take(now, first.Records(now))
+			case "hear":
+				at.Merge(now, first.Records(now))
 			}
 		}
 		now := start.Add(12 * time.Second)
 		all := append(first.Records(now), second.Records(now)...)
 		inBatch, oneByOne := quarantine.NewTable(nil, nil), quarantine.NewTable(nil, nil)
-		inBatch.Take(now, all)
+		inBatch.Merge(now, all)
 		for _, i := range rapid.Permutation(indices(len(all))).Draw(rt, "order") {
-			oneByOne.Take(now, all[i:i+1])
-			oneByOne.Take(now, all[i:i+1])
+			oneByOne.Merge(now, all[i:i+1])
+			oneByOne.Merge(now, all[i:i+1])
 		}
 		assert.Equal(rt, inBatch.Sum(now), oneByOne.Sum(now))
-		first.Take(now, second.Records(now))
-		second.Take(now, first.Records(now))
+		first.Merge(now, second.Records(now))
+		second.Merge(now, first.Records(now))
 		assert.Equal(rt, first.Sum(now), second.Sum(now))
 		assert.Equal(rt, first.Sum(now), inBatch.Sum(now))
 		for request := 1; request <= 2; request++ {
@@ -189,14 +189,14 @@
 	crashed(table, now, 1)
 	crashed(table, now, 2)
 	for i := range 3000 {
-		table.Ended(now.Add(time.Duration(i)*time.Millisecond), quarantine.End{ID: uint64(10 + i), Digests: []quarantine.Digest{digest(10 + i)}})
+		table.ServerCrashed(now.Add(time.Duration(i)*time.Millisecond), quarantine.Crash{ID: uint64(10 + i), Digests: []quarantine.Digest{digest(10 + i)}})
 	}
 	assert.Equal(t, len(table.Views(now)), 512)
 	assert.Equal(t, len(table.Records(now)), 64)
 	// A new process has the same records after one exchange, and the sums show that nothing is left
 	// to exchange.
 	newcomer := quarantine.NewTable(nil, nil)
-	newcomer.Take(now, table.Records(now))
+	newcomer.Merge(now, table.Records(now))
 	assert.Equal(t, newcomer.Sum(now), table.Sum(now))
 	assert.Assert(t, newcomer.Check(now, lazy(1)).Refused)
 	assert.Assert(t, table.Check(now, lazy(1)).Refused)
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -32,7 +32,7 @@
 	now := time.Now()
 	at := crash.Run{Digest: r.digest(), Trial: r.trial, Began: r.began, Sent: started}
 	if ctx.Err() != nil {
-		r.door.crashes.Left(now, at)
+		r.door.crashes.Abandoned(now, at)
 		return
 	}
 	end, ok := r.door.crashes.Failed(at, err)
@@ -40,5 +40,5 @@
 		return
 	}
 	r.sidecar.journal.Add(end.Decision(now, slatewind.Decision{Service: r.door.service, Server: r.door.name}))
-	r.sidecar.suspects.Ended(now, end)
+	r.sidecar.suspects.ServerCrashed(now, end)
 }
