--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -210,7 +210,7 @@
 func (p *Process) drain(reason string) {
 	now := time.Now()
 	p.sidecar.Leave(now, reason)
-	p.ingress.Drain(drain.Course{Began: now, Grace: StopTimeout})
+	p.ingress.Drain(drain.Schedule{Began: now, Grace: StopTimeout})
 	p.gossip.Leave(now)
 }
 
--- a/daemon/nodesink.go
+++ b/daemon/nodesink.go
@@ -40,7 +40,7 @@
 	n.outbound.Remove(name)
 	n.limiter.Remove(now, name)
 	n.shareBounds()
-	n.inbound.Gone(now, name)
+	n.inbound.Removed(now, name)
 }
 
 // shareBounds tells the sidecar which servers share the bounds of its service.
--- a/daemon/nodestop.go
+++ b/daemon/nodestop.go
@@ -24,7 +24,7 @@
 // Stop drains the node: it is unready at once, and what it takes and when it ends follows
 // its course (package drain). What is not finished in time is answered as it stands.
 func (n *Node) Stop(ctx context.Context) error {
-	course := drain.Course{Began: time.Now(), Grace: n.grace()}
+	course := drain.Schedule{Began: time.Now(), Grace: n.grace()}
 	n.stopping.Store(true)
 	n.outbound.Drain(course)
 	n.inbound.Drain(course, n.outbound.HasCallers)
@@ -49,24 +49,24 @@
 }
 
 // waitUntilOver waits until the course is over.
-func (n *Node) waitUntilOver(ctx context.Context, course drain.Course) {
+func (n *Node) waitUntilOver(ctx context.Context, course drain.Schedule) {
 	for ctx.Err() == nil {
 		// What comes after this moment is decided about by a later one.
 		now := time.Now()
-		idle := n.outbound.InFlight() == 0 && n.inbound.InHand() == 0
+		idle := n.outbound.InFlight() == 0 && n.inbound.InFlight() == 0
 		if course.Over(now, idle) {
 			break
 		}
 		time.Sleep(drainPoll)
 	}
-	if n.outbound.InFlight() > 0 || n.inbound.InHand() > 0 {
+	if n.outbound.InFlight() > 0 || n.inbound.InFlight() > 0 {
 		n.logger.Warn("stopping with work in hand", "running", n.inbound.InUse(), "callers", n.outbound.InFlight())
 	}
 }
 
 // closeCallers closes the callers' connections: at once those that are idle or have sent
 // nothing yet, those that wait for an answer once they have it, and all when the course ends.
-func (n *Node) closeCallers(ctx context.Context, course drain.Course) {
+func (n *Node) closeCallers(ctx context.Context, course drain.Schedule) {
 	ending, cancel := context.WithDeadline(ctx, course.Ends())
 	defer cancel()
 	n.silent.closeAll()
@@ -77,8 +77,8 @@
 
 // waitForPeers waits until the requests of other processes have run, as long as the course
 // lasts: to their callers this stop is none.
-func (n *Node) waitForPeers(ctx context.Context, course drain.Course) {
-	for n.inbound.InHand() > 0 && ctx.Err() == nil && time.Now().Before(course.Ends().Add(-drainPoll)) {
+func (n *Node) waitForPeers(ctx context.Context, course drain.Schedule) {
+	for n.inbound.InFlight() > 0 && ctx.Err() == nil && time.Now().Before(course.Ends().Add(-drainPoll)) {
 		time.Sleep(drainPoll)
 	}
 }
--- a/daemon/nodewiring.go
+++ b/daemon/nodewiring.go
@@ -57,7 +57,7 @@
 	n.inbound = inbound.New(inbound.Server{
 		Service: process.GetLocalServer().GetService(),
 		Address: process.GetLocalServer().GetAddress(),
-		Dialect: platform.Servers(),
+		Headers: platform.Servers(),
 	}, boundsOf(process), j, n.suspects)
 	n.limiter = ratelimit.New(time.Now(), outbound.HostOf(process.GetLocalServer().GetAddress()), nodePeers{n}, limitsOf(store))
 	n.outbound = outbound.New(
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -13,7 +13,7 @@
 // Nested calls of requests that the server beside the process is running are part of the requests
 // in flight and are accepted after the close, too.
 //
-// A Course has no clock; its callers pass the time.
+// A Schedule has no clock; its callers pass the time.
 package drain
 
 import "time"
@@ -51,8 +51,8 @@
 	startTime = 800 * time.Millisecond
 )
 
-// Course is the schedule of one shutdown.
-type Course struct {
+// Schedule is the schedule of one shutdown.
+type Schedule struct {
 	// Began is when the process was told to stop, Grace the time until it is killed.
 	Began time.Time
 	Grace time.Duration
@@ -70,62 +70,62 @@
 }
 
 // share returns when the given share of the grace period has passed.
-func (c Course) share(share float64) time.Time {
+func (c Schedule) share(share float64) time.Time {
 	return c.Began.Add(time.Duration(share * float64(c.Grace)))
 }
 
 // AdmissionEnds returns when the process stops admitting new requests.
-func (c Course) AdmissionEnds() time.Time {
+func (c Schedule) AdmissionEnds() time.Time {
 	return c.Began.Add(min(admissionTime, time.Duration(maxAdmissionShare*float64(c.Grace))))
 }
 
 // Open reports whether new requests are admitted.
-func (c Course) Open(now time.Time) bool { return now.Before(c.AdmissionEnds()) }
+func (c Schedule) Open(now time.Time) bool { return now.Before(c.AdmissionEnds()) }
 
 // Finishes returns the time until which the answers to all requests that were sent to a server
 // are awaited.
-func (c Course) Finishes() time.Time { return c.share(finishShare) }
+func (c Schedule) Finishes() time.Time { return c.share(finishShare) }
 
 // WorkEnds returns when the callers that still wait get a final reply, whatever the state of
 // their requests.
-func (c Course) WorkEnds() time.Time { return c.share(workShare) }
+func (c Schedule) WorkEnds() time.Time { return c.share(workShare) }
 
 // Ends returns when the last connection is closed.
-func (c Course) Ends() time.Time { return c.share(endShare) }
+func (c Schedule) Ends() time.Time { return c.share(endShare) }
 
 // RemainingWait returns how long the process still waits for the answers of servers.
-func (c Course) RemainingWait(now time.Time) time.Duration { return c.WorkEnds().Sub(now) }
+func (c Schedule) RemainingWait(now time.Time) time.Duration { return c.WorkEnds().Sub(now) }
 
 // Outlasts reports whether the process has to wait for answers for longer than another stopping
 // process, which still waits for the given time.
-func (c Course) Outlasts(now time.Time, other time.Duration) bool {
+func (c Schedule) Outlasts(now time.Time, other time.Duration) bool {
 	return c.Finishes().Sub(now) > other
 }
 
 // LastAnswer returns the latest time at which a server may end a request itself for its answer to
 // be forwarded.
-func (c Course) LastAnswer() time.Time { return c.WorkEnds().Add(-answerTime) }
+func (c Schedule) LastAnswer() time.Time { return c.WorkEnds().Add(-answerTime) }
 
 // LastStart returns the latest time at which a request with the given expected service time may
 // be sent to a server. A request that is sent later would be abandoned before it completes.
-func (c Course) LastStart(expected time.Duration) time.Time {
+func (c Schedule) LastStart(expected time.Duration) time.Time {
 	return c.Finishes().Add(-expected)
 }
 
 // MayStart reports whether a request with the given expected service time may be sent to a server
 // now.
-func (c Course) MayStart(now time.Time, expected time.Duration) bool {
+func (c Schedule) MayStart(now time.Time, expected time.Duration) bool {
 	return !now.After(c.LastStart(expected))
 }
 
 // MayGrant reports whether a request of another process may get a slot now.
-func (c Course) MayGrant(now time.Time, expected time.Duration) bool {
+func (c Schedule) MayGrant(now time.Time, expected time.Duration) bool {
 	return c.MayStart(now, spareFactor*expected)
 }
 
 // Admit decides whether to accept a request that arrives during the shutdown. If it is accepted,
 // deadline is the deadline to use for it.
-func (c Course) Admit(now time.Time, r Request) (deadline time.Time, taken bool) {
+func (c Schedule) Admit(now time.Time, r Request) (deadline time.Time, taken bool) {
 	if c.Open(now) {
 		return r.Deadline, c.MayStart(now, r.Expected)
 	}
@@ -161,7 +161,7 @@
 // GrantsSlot reports whether a slot of the server beside the process is granted to a request with
 // the given expected service time. After the close, requests get a slot only if they are likely
 // to complete before the work that delays the exit anyway, or if that work takes unusually long.
-func (c Course) GrantsSlot(now time.Time, expected time.Duration, w Work) bool {
+func (c Schedule) GrantsSlot(now time.Time, expected time.Duration, w Work) bool {
 	switch {
 	case c.Open(now):
 		return true
@@ -171,8 +171,8 @@
 	return expected <= w.expectedDuration() || now.Sub(c.AdmissionEnds()) >= stragglerFactor*w.Mean
 }
 
-// BackIn returns the time until the successor process is likely to be ready.
-func (c Course) BackIn(now time.Time) time.Duration {
+// RetryAfter returns the time until the successor process is likely to be ready.
+func (c Schedule) RetryAfter(now time.Time) time.Duration {
 	idle := c.AdmissionEnds()
 	if now.After(idle) {
 		idle = now
@@ -186,6 +186,6 @@
 
 // Over reports whether the exit may begin: callers that still wait get a final reply, and
 // everything else is shut down. idle reports that no requests are in flight.
-func (c Course) Over(now time.Time, idle bool) bool {
+func (c Schedule) Over(now time.Time, idle bool) bool {
 	return idle && !c.Open(now) || !now.Before(c.WorkEnds())
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -15,7 +15,7 @@
 
 // TestAdmit: the requests that a shutdown with a grace period of six seconds accepts.
 func TestAdmit(t *testing.T) {
-	course := drain.Course{Began: began, Grace: 6 * time.Second}
+	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	const long = time.Minute
 	tests := map[string]struct {
 		after time.Duration
@@ -72,7 +72,7 @@
 }
 
 // simulate simulates a request during a shutdown, in the same steps as the processes.
-func (j *job) simulate(c drain.Course) {
+func (j *job) simulate(c drain.Schedule) {
 	now := began.Add(j.arrives)
 	if j.arrives >= 0 {
 		deadline, taken := c.Admit(now, j.Request)
@@ -98,16 +98,16 @@
 	}
 }
 
-// TestCourse: whatever requests arrive during a shutdown, none that was sent to a server is
+// TestSchedule: whatever requests arrive during a shutdown, none that was sent to a server is
 // abandoned before the last sixth of the grace period, nor at all if it arrived later than the
 // operators allow for. The process exits by itself, as soon as it is idle after callers had time
 // to notice the shutdown.
-func TestCourse(t *testing.T) {
+func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string, low, high time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(low), int64(high)).Draw(t, name))
 		}
-		c := drain.Course{Began: began, Grace: span("grace", 2*time.Second, 20*time.Second)}
+		c := drain.Schedule{Began: began, Grace: span("grace", 2*time.Second, 20*time.Second)}
 		last := began
 		for range rapid.IntRange(0, 20).Draw(t, "jobs") {
 			j := &job{
@@ -153,10 +153,10 @@
 	return b
 }
 
-// TestBackIn: refused callers get the time after which the successor process is likely to be
+// TestRetryAfter: refused callers get the time after which the successor process is likely to be
 // ready.
-func TestBackIn(t *testing.T) {
-	course := drain.Course{Began: began, Grace: 6 * time.Second}
+func TestRetryAfter(t *testing.T) {
+	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	tests := map[string]struct {
 		after, back time.Duration
 	}{
@@ -167,7 +167,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, course.BackIn(began.Add(test.after)), test.back)
+			assert.Equal(t, course.RetryAfter(began.Add(test.after)), test.back)
 		})
 	}
 }
@@ -175,7 +175,7 @@
 // TestGrantsSlot: the server beside the process gets requests until admission closes, and
 // afterwards while requests from before the close delay the exit.
 func TestGrantsSlot(t *testing.T) {
-	course := drain.Course{Began: began, Grace: 6 * time.Second}
+	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	const mean = 400 * time.Millisecond
 	// usual is the expected service time of a request at most servers.
 	const usual = 3 * mean / 2
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -106,7 +106,7 @@
 		go g.exchange(address, "", plain)
 	}
 	timers.Subscribe(ctx, interval, func(t timer.Tick) {
-		if t.Away > 0 {
+		if t.Paused > 0 {
 			// A process that was away holds old views; it asks more peers.
 			g.round(pushFanOut)
 			return
--- a/inbound/answer.go
+++ b/inbound/answer.go
@@ -22,8 +22,8 @@
 
 // forwardAnswer forwards the server's answer to the sender.
 func (u *use) forwardAnswer(ctx context.Context, answer *backend.Answer) error {
-	u.updateSlots(answer.Header.Get(u.in.server.Dialect.Load))
-	if answer.Header.Get(u.in.server.Dialect.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
+	u.updateSlots(answer.Header.Get(u.in.server.Headers.Load))
+	if answer.Header.Get(u.in.server.Headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
 		return u.notExecuted(answer)
 	}
 	// If the server's answer is truncated while it is still buffered here, the request counts as
@@ -68,7 +68,7 @@
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		result = breaker.ResultNone
 		u.in.mu.Lock()
-		if name := answer.Header.Get(u.in.server.Dialect.Identity); name != "" {
+		if name := answer.Header.Get(u.in.server.Headers.Identity); name != "" {
 			u.in.setIdentity(time.Now(), name, 0)
 		}
 		u.in.mu.Unlock()
--- a/inbound/crash_test.go
+++ b/inbound/crash_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(crasher.Close)
 	journal := history.New(0, nil)
-	p := &fixture{server: server, Inbound: inbound.New(inbound.Server{Service: "svc", Address: crasher.Address(), Dialect: platform.Servers()}, bounds, journal, quarantine.NewTable(nil, nil))}
+	p := &fixture{server: server, Inbound: inbound.New(inbound.Server{Service: "svc", Address: crasher.Address(), Headers: platform.Servers()}, bounds, journal, quarantine.NewTable(nil, nil))}
 	t.Cleanup(p.Close)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
 	return p, journal
--- a/inbound/entry.go
+++ b/inbound/entry.go
@@ -36,9 +36,9 @@
 	in.deliver(in.slots.Advance(now))
 }
 
-// Gone records that the entry of the named server was removed. The server counts as leaving from
+// Removed records that the entry of the named server was removed. The server counts as leaving from
 // then on.
-func (in *Inbound) Gone(now time.Time, name string) {
+func (in *Inbound) Removed(now time.Time, name string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.olderEntry != nil && in.olderEntry.Name == name {
--- a/inbound/idle_test.go
+++ b/inbound/idle_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	assert.DeepEqual(t, noted, []float64{1, 2, 4})
-	l.refused[CauseSick], l.refused[CauseFull] = 2, 1
+	l.refused[CauseUnhealthy], l.refused[CauseFull] = 2, 1
 	l.unused = 3
 	assert.Equal(t, l.describe(start.Add(4*time.Second)), "for=4.0s unused=3 full=1 sick=2")
 	l.reset(start.Add(5 * time.Second))
--- a/inbound/inbound.go
+++ b/inbound/inbound.go
@@ -50,8 +50,8 @@
 const (
 	// CauseFull: no slot will be free before the reservation's wait limit.
 	CauseFull Cause = "full"
-	// CauseSick: the circuit breaker rejects requests of this kind.
-	CauseSick Cause = "sick"
+	// CauseUnhealthy: the circuit breaker rejects requests of this kind.
+	CauseUnhealthy Cause = "sick"
 	// CauseLeaving: the server accepts no new requests.
 	CauseLeaving Cause = "leaving"
 	// CauseStopping: this process is about to exit and accepts no new requests; its successor
@@ -73,7 +73,7 @@
 	Service string
 	// Address is the server's IP:port.
 	Address string
-	Dialect slatewind.ServerHeaders
+	Headers slatewind.ServerHeaders
 }
 
 // Bounds is the operators' limit on extra attempts (retries and hedges) that arrive at the
@@ -131,7 +131,7 @@
 	leavingReason string
 	// shutdown is the schedule of the graceful shutdown, nil before it begins; callersInFlight
 	// reports whether requests of callers are in flight.
-	shutdown        *drain.Course
+	shutdown        *drain.Schedule
 	callersInFlight func() bool
 	// queueRefused reports that the reservations that were waiting when the shutdown stopped
 	// admission have been refused.
@@ -156,7 +156,7 @@
 func New(server Server, bounds Bounds, journal slatewind.Journal, suspects *quarantine.Table) *Inbound {
 	in := &Inbound{
 		server: server, bounds: bounds, journal: journal, suspects: suspects,
-		pool:    backend.NewPool(server.Address, server.Dialect),
+		pool:    backend.NewPool(server.Address, server.Headers),
 		slots:   admission.NewServer(defaultSlots),
 		breaker: breaker.New(),
 		extras:  retry.NewWindow(time.Now(), extrasShare*bounds.RetryRatio, bounds.RetryWindow),
--- a/inbound/inbound_test.go
+++ b/inbound/inbound_test.go
@@ -51,7 +51,7 @@
 	t.Cleanup(web.Close)
 	p := &fixture{}
 	p.Inbound = inbound.New(inbound.Server{
-		Service: "svc", Address: strings.TrimPrefix(web.URL, "http://"), Dialect: platform.Servers(),
+		Service: "svc", Address: strings.TrimPrefix(web.URL, "http://"), Headers: platform.Servers(),
 	}, bounds, history.New(0, nil), quarantine.NewTable(nil, nil))
 	t.Cleanup(p.Close)
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
@@ -62,7 +62,7 @@
 // its server's address.
 func newFixtureWithoutServer() *fixture {
 	return &fixture{Inbound: inbound.New(inbound.Server{
-		Service: "svc", Address: "127.0.0.1:1", Dialect: platform.Servers(),
+		Service: "svc", Address: "127.0.0.1:1", Headers: platform.Servers(),
 	}, bounds, history.New(0, nil), quarantine.NewTable(nil, nil))}
 }
 
@@ -80,8 +80,8 @@
 
 // shutdownStartedAgo returns the schedule of a shutdown with a grace period of six seconds that
 // started the given time ago.
-func shutdownStartedAgo(ago time.Duration) drain.Course {
-	return drain.Course{Began: time.Now().Add(-ago), Grace: 6 * time.Second}
+func shutdownStartedAgo(ago time.Duration) drain.Schedule {
+	return drain.Schedule{Began: time.Now().Add(-ago), Grace: 6 * time.Second}
 }
 
 // noCallers reports that no requests of callers are in flight.
@@ -177,7 +177,7 @@
 		handed <- r.Header.Get(platform.Servers().Deadline)
 		w.WriteHeader(http.StatusGatewayTimeout)
 	}))
-	course := drain.Course{Began: time.Now().Add(-time.Second), Grace: 3 * time.Second}
+	course := drain.Schedule{Began: time.Now().Add(-time.Second), Grace: 3 * time.Second}
 	p.Drain(course, noCallers)
 	p.run(reservation(), "id")
 	left := time.Until(course.WorkEnds())
@@ -226,7 +226,7 @@
 	}{
 		"another service":                      {func(*fixture) {}, other, inbound.CauseMoved},
 		"a leaving server":                     {func(p *fixture) { p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Leaving: true}) }, reservation(), inbound.CauseLeaving},
-		"a server without an entry":            {func(p *fixture) { p.Gone(time.Now(), "s-1") }, reservation(), inbound.CauseLeaving},
+		"a server without an entry":            {func(p *fixture) { p.Removed(time.Now(), "s-1") }, reservation(), inbound.CauseLeaving},
 		"a process that has stopped admission": {func(p *fixture) { p.Drain(shutdownStartedAgo(3*time.Second), noCallers) }, reservation(), inbound.CauseStopping},
 		"no time to complete it":               {func(p *fixture) { p.Drain(shutdownStartedAgo(0), noCallers) }, longReservation(5500), inbound.CauseLate},
 		"likely to take too long":              {func(p *fixture) { p.Drain(shutdownStartedAgo(2*time.Second), noCallers) }, longReservation(1600), inbound.CauseLate},
@@ -234,7 +234,7 @@
 			p.server.SetMode(standin.StampedReset)
 			p.run(reservation(), "victim")
 			p.server.SetMode(standin.StampedOK)
-		}, careful, inbound.CauseSick},
+		}, careful, inbound.CauseUnhealthy},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -266,9 +266,9 @@
 // another start's entry has no effect.
 func TestServerReturns(t *testing.T) {
 	p := newFixture(t)
-	p.Gone(time.Now(), "an older start")
+	p.Removed(time.Now(), "an older start")
 	assert.Equal(t, p.run(reservation(), "a"), "200 s-1 /x b")
-	p.Gone(time.Now(), "s-1")
+	p.Removed(time.Now(), "s-1")
 	p.Published(time.Now(), &slatewind.ServerEntry{Name: "s-1", Service: "svc", Slots: slots})
 	assert.Equal(t, p.run(reservation(), "b"), "200 s-1 /x b")
 }
--- a/inbound/run.go
+++ b/inbound/run.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	toServer := u.serverRequest(ctx, request, body, remaining)
 	u.parent = parent{item: u.item.ID, repeat: u.reservation.GetExtra() || u.reservation.GetRepeat(), workspace: u.reservation.GetWorkspace()}
-	u.id = toServer.Header.Get(u.in.server.Dialect.RequestID)
+	u.id = toServer.Header.Get(u.in.server.Headers.RequestID)
 	u.in.beginRun(u.id, &u.parent)
 	u.chargeExtra(now)
 	u.began = time.Now()
@@ -80,7 +80,7 @@
 
 // serverRequest builds the request to the server. The target is sent unchanged.
 func (u *use) serverRequest(ctx context.Context, from *slatewindv1.SlotRequest, body []byte, remaining time.Duration) *http.Request {
-	dialect := u.in.server.Dialect
+	dialect := u.in.server.Headers
 	header := http.Header{"User-Agent": {""}}
 	for _, h := range from.GetHeaders() {
 		header[h.GetName()] = append(header[h.GetName()], h.GetValue())
--- a/inbound/slots.go
+++ b/inbound/slots.go
@@ -150,12 +150,12 @@
 	case in.leavingReason != "":
 		return in.refusal(CauseLeaving, leavingText(in.leavingReason), 0)
 	case in.shutdown != nil && !in.grantsSlot(now, expectedTime(r)):
-		return in.refusal(CauseStopping, stoppingReason, in.shutdown.BackIn(now))
+		return in.refusal(CauseStopping, stoppingReason, in.shutdown.RetryAfter(now))
 	case in.shutdown != nil && !in.shutdown.MayGrant(now, expectedTime(r)):
 		// Shorter requests may still be granted, so the whole server is not reported as stopping.
 		return in.refusal(CauseLate, stoppingReason, 0)
 	case !in.allows(now, askOf(r)):
-		return in.refusal(CauseSick, "", in.breaker.RetryAfter(now))
+		return in.refusal(CauseUnhealthy, "", in.breaker.RetryAfter(now))
 	case r.GetExtra() && !in.extras.Left(now):
 		return in.refusal(CauseBudget, "", 0)
 	}
--- a/inbound/stop.go
+++ b/inbound/stop.go
@@ -12,7 +12,7 @@
 // are granted for as long as the schedule admits requests; otherwise the server would be idle
 // during the whole shutdown. callers reports whether requests of callers are in flight in this
 // process.
-func (in *Inbound) Drain(course drain.Course, callers func() bool) {
+func (in *Inbound) Drain(course drain.Schedule, callers func() bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.shutdown == nil {
@@ -80,9 +80,9 @@
 	return uint32(max(in.shutdown.RemainingWait(now).Milliseconds(), 1))
 }
 
-// InHand returns the number of reservations without a final reply. A reservation releases its
+// InFlight returns the number of reservations without a final reply. A reservation releases its
 // slot when its request has run, before the answer has been sent.
-func (in *Inbound) InHand() int {
+func (in *Inbound) InFlight() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.inFlight
--- a/inbound/use.go
+++ b/inbound/use.go
@@ -155,7 +155,7 @@
 	case u.in.leavingReason != "":
 		cause = CauseLeaving
 	case d.Reason == stoppingReason:
-		cause, reason, after = CauseStopping, stoppingReason, u.in.shutdown.BackIn(time.Now())
+		cause, reason, after = CauseStopping, stoppingReason, u.in.shutdown.RetryAfter(time.Now())
 	}
 	refusal := u.in.refusal(cause, reason, after)
 	u.in.mu.Unlock()
--- a/ingress/drain_test.go
+++ b/ingress/drain_test.go
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			links := &fakeLinks{all: answers}
 			in, _ := newIngress(t, links)
-			in.Drain(drain.Course{Began: time.Now().Add(-test.ago), Grace: grace})
+			in.Drain(drain.Schedule{Began: time.Now().Add(-test.ago), Grace: grace})
 			w := httptest.NewRecorder()
 			in.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/prices/1", nil))
 			assert.Equal(t, w.Code, test.status)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -89,7 +89,7 @@
 	mu     sync.RWMutex
 	shards map[string]*shard
 	// stop is the course of the process's stop, nil before it.
-	stop atomic.Pointer[drain.Course]
+	stop atomic.Pointer[drain.Schedule]
 	// inFlight counts callers' requests, for the drain.
 	inFlight atomic.Int64
 }
@@ -118,10 +118,10 @@
 func (in *Ingress) Start(ctx context.Context, timers *timer.Service) {
 	in.ctx = ctx
 	timers.Subscribe(ctx, tickInterval, func(t timer.Tick) {
-		if t.Away > 0 {
+		if t.Paused > 0 {
 			in.journal.Add(slatewind.Decision{
 				Time: t.Now, Kind: slatewind.DecisionAway,
-				Reason: fmt.Sprintf("the process did not run for %s; reported loads are void", t.Away.Round(time.Millisecond)),
+				Reason: fmt.Sprintf("the process did not run for %s; reported loads are void", t.Paused.Round(time.Millisecond)),
 			})
 		}
 		in.tick(t.Now)
@@ -180,7 +180,7 @@
 
 // Drain begins the drain of the ingress role: callers are told to go elsewhere
 // with their next connection, and requests in flight end in peace.
-func (in *Ingress) Drain(course drain.Course) {
+func (in *Ingress) Drain(course drain.Schedule) {
 	in.stop.Store(&course)
 }
 
--- a/logreport/cause.go
+++ b/logreport/cause.go
@@ -16,7 +16,7 @@
 
 // refusals are the words with which the process beside a server refuses a request.
 var refusals = []inbound.Cause{
-	inbound.CauseFull, inbound.CauseSick, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
+	inbound.CauseFull, inbound.CauseUnhealthy, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
 	inbound.CauseBudget, inbound.CauseLate,
 }
 
--- a/logreport/cause_test.go
+++ b/logreport/cause_test.go
@@ -25,7 +25,7 @@
 // TestRefusals: each cause of a refusal is told without its details.
 func TestRefusals(t *testing.T) {
 	for _, cause := range []inbound.Cause{
-		inbound.CauseFull, inbound.CauseSick, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
+		inbound.CauseFull, inbound.CauseUnhealthy, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
 		inbound.CauseBudget, inbound.CauseLate,
 	} {
 		t.Run(string(cause), func(t *testing.T) {
--- a/outbound/acquire.go
+++ b/outbound/acquire.go
@@ -134,7 +134,7 @@
 		return s.lastReason
 	}
 	return fmt.Sprintf("%s (of all refusals: %d full, %d sick, %d leaving, %d stopping, %d moved, %d budget)", s.lastReason,
-		s.refusals[inbound.CauseFull], s.refusals[inbound.CauseSick], s.refusals[inbound.CauseLeaving],
+		s.refusals[inbound.CauseFull], s.refusals[inbound.CauseUnhealthy], s.refusals[inbound.CauseLeaving],
 		s.refusals[inbound.CauseStopping], s.refusals[inbound.CauseMoved], s.refusals[inbound.CauseBudget])
 }
 
--- a/outbound/outbound.go
+++ b/outbound/outbound.go
@@ -112,7 +112,7 @@
 	end   context.CancelFunc
 
 	// stop describes the shutdown in progress; nil if there is none.
-	stop atomic.Pointer[drain.Course]
+	stop atomic.Pointer[drain.Schedule]
 	// inFlight counts the requests in flight, callsInFlight those of them that are nested calls
 	// of the server beside this process.
 	inFlight, callsInFlight atomic.Int64
--- a/outbound/outbound_test.go
+++ b/outbound/outbound_test.go
@@ -108,7 +108,7 @@
 	}
 	time.Sleep(20 * time.Millisecond)
 	return s.Send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Refusal{Refusal: &slatewindv1.Refusal{
-		Cause: string(inbound.CauseSick), RetryAfterMs: 2000, State: &slatewindv1.SlotState{Slots: 2, Health: string(slatewind.ServerEjected), FailurePercent: 100},
+		Cause: string(inbound.CauseUnhealthy), RetryAfterMs: 2000, State: &slatewindv1.SlotState{Slots: 2, Health: string(slatewind.ServerEjected), FailurePercent: 100},
 	}}})
 }
 
@@ -167,7 +167,7 @@
 	web := httptest.NewServer(server)
 	t.Cleanup(web.Close)
 	entry := slatewind.ServerEntry{Name: name, Service: service, Address: strings.TrimPrefix(web.URL, "http://"), DataCentre: "dc", Slots: 2}
-	in := inbound.New(inbound.Server{Service: service, Address: entry.Address, Dialect: platform.Servers()}, m.bounds, m.history, m.suspects)
+	in := inbound.New(inbound.Server{Service: service, Address: entry.Address, Headers: platform.Servers()}, m.bounds, m.history, m.suspects)
 	t.Cleanup(in.Close)
 	in.Published(time.Now(), &entry)
 	m.mu.Lock()
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -133,7 +133,7 @@
 	switch inbound.Cause(refusal.GetCause()) {
 	case inbound.CauseFull:
 		reason = fmt.Sprintf("no slot in time, %d of %d in use, %d wait", state.GetInUse(), state.GetSlots(), state.GetQueued())
-	case inbound.CauseSick:
+	case inbound.CauseUnhealthy:
 		reason = fmt.Sprintf("the server is %s, %d%% of the newest requests failed, suspicion %.1f",
 			healthOf(state), state.GetFailurePercent(), float64(state.GetSuspicionTenths())/tenthsPerUnit)
 	case inbound.CauseBudget:
@@ -160,7 +160,7 @@
 	case inbound.CauseStopping:
 		state.Stopping = true
 		state.BackIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
-	case inbound.CauseSick:
+	case inbound.CauseUnhealthy:
 		state.TrialIn = time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
 	case inbound.CauseBudget:
 		state.Spent = true
@@ -233,7 +233,7 @@
 	}
 	s.recordState(id, refusalStateOf(refusal))
 	switch cause {
-	case inbound.CauseSick:
+	case inbound.CauseUnhealthy:
 		s.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.reservation.server().Start}, refusal.GetState(), max(after, minTrialIn))
 	case inbound.CauseBudget:
 		s.rq.shard.recordDenial(time.Now())
@@ -241,5 +241,5 @@
 	case inbound.CauseMoved:
 		s.rq.shard.update(func(c *choice.Service) { c.Moved(time.Now(), id) })
 	}
-	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Unhealthy: cause == inbound.CauseSick, Denied: cause == inbound.CauseBudget}))
+	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Unhealthy: cause == inbound.CauseUnhealthy, Denied: cause == inbound.CauseBudget}))
 }
--- a/outbound/stop.go
+++ b/outbound/stop.go
@@ -14,7 +14,7 @@
 // Drain starts the graceful shutdown: connections to callers are closed after their current request,
 // and requests that cannot be finished in time are refused without being sent. Accepting every
 // request on an open connection would cut off those that servers are still working on at the end.
-func (o *Outbound) Drain(course drain.Course) {
+func (o *Outbound) Drain(course drain.Schedule) {
 	o.stop.Store(&course)
 }
 
@@ -33,7 +33,7 @@
 // be ready, since earlier retries would find no process here.
 func (o *Outbound) setRetryAfter(now time.Time, f *requestResult) {
 	if stop := o.stop.Load(); stop != nil && f.outcome == slatewind.OutcomeNotRun {
-		f.retryAfter = max(f.retryAfter, stop.BackIn(now))
+		f.retryAfter = max(f.retryAfter, stop.RetryAfter(now))
 	}
 }
 
--- a/outbound/stop_test.go
+++ b/outbound/stop_test.go
@@ -48,10 +48,10 @@
 			})
 			now := time.Now()
 			if test.server >= 0 {
-				m.inbounds["a"].Drain(drain.Course{Began: now.Add(-test.server), Grace: grace}, func() bool { return false })
+				m.inbounds["a"].Drain(drain.Schedule{Began: now.Add(-test.server), Grace: grace}, func() bool { return false })
 			}
 			if test.caller >= 0 {
-				m.Drain(drain.Course{Began: now.Add(-test.caller), Grace: grace})
+				m.Drain(drain.Schedule{Began: now.Add(-test.caller), Grace: grace})
 			}
 			got := m.send(http.MethodPost, "/long/1", "id", "", test.allowed)
 			assert.Equal(t, got.status, test.status, got.body)
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -17,8 +17,8 @@
 // Tick is the argument of one call of a subscriber.
 type Tick struct {
 	Now time.Time
-	// Away is how long the process did not run; zero for an ordinary tick.
-	Away time.Duration
+	// Paused is how long the process did not run; zero for an ordinary tick.
+	Paused time.Duration
 }
 
 // Service calls its subscribers periodically.
@@ -42,7 +42,7 @@
 				return
 			case <-ticker.C:
 				now, since := time.Now(), s.clock.Suspended()
-				handle(Tick{Now: now, Away: max(PauseBetween(last, now, interval), since-suspended)})
+				handle(Tick{Now: now, Paused: max(PauseBetween(last, now, interval), since-suspended)})
 				last, suspended = now, since
 			}
 		}
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -25,11 +25,11 @@
 		time.Sleep(15*time.Second + time.Millisecond)
 		cancel()
 		synctest.Wait()
-		assert.Equal(t, ticks[0].Away, time.Duration(0))
-		assert.Equal(t, ticks[1].Away, time.Duration(0))
+		assert.Equal(t, ticks[0].Paused, time.Duration(0))
+		assert.Equal(t, ticks[1].Paused, time.Duration(0))
 		late := false
 		for _, tick := range ticks[2:] {
-			late = late || tick.Away >= 8*time.Second
+			late = late || tick.Paused >= 8*time.Second
 		}
 		assert.Assert(t, late, "%v", ticks)
 		count := len(ticks)
