--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -15,7 +15,7 @@
 
 // TestAdmit: the requests that a shutdown with a grace period of six seconds accepts.
 func TestAdmit(t *testing.T) {
-	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
+	schedule := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	const long = time.Minute
 	tests := map[string]struct {
 		after time.Duration
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := began.Add(test.after)
 			test.request.Deadline = now.Add(test.remaining)
-			deadline, taken := course.Admit(now, test.request)
+			deadline, taken := schedule.Admit(now, test.request)
 			assert.Equal(t, taken, test.taken)
 			if want := test.bounded; taken && want > 0 {
 				assert.Equal(t, deadline, now.Add(want))
@@ -156,7 +156,7 @@
 // TestRetryAfter: refused callers get the time after which the successor process is likely to be
 // ready.
 func TestRetryAfter(t *testing.T) {
-	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
+	schedule := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	tests := map[string]struct {
 		after, back time.Duration
 	}{
@@ -167,7 +167,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, course.RetryAfter(began.Add(test.after)), test.back)
+			assert.Equal(t, schedule.RetryAfter(began.Add(test.after)), test.back)
 		})
 	}
 }
@@ -175,7 +175,7 @@
 // TestGrantsSlot: the server beside the process gets requests until admission closes, and
 // afterwards while requests from before the close delay the exit.
 func TestGrantsSlot(t *testing.T) {
-	course := drain.Schedule{Began: began, Grace: 6 * time.Second}
+	schedule := drain.Schedule{Began: began, Grace: 6 * time.Second}
 	const mean = 400 * time.Millisecond
 	// usual is the expected service time of a request at most servers.
 	const usual = 3 * mean / 2
@@ -200,7 +200,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			work := drain.Work{Held: test.held, Mean: mean}
-			assert.Equal(t, course.GrantsSlot(began.Add(test.after), test.expected, work), test.gives)
+			assert.Equal(t, schedule.GrantsSlot(began.Add(test.after), test.expected, work), test.gives)
 		})
 	}
 }
--- a/inbound/inbound_test.go
+++ b/inbound/inbound_test.go
@@ -177,10 +177,10 @@
 		handed <- r.Header.Get(platform.Servers().Deadline)
 		w.WriteHeader(http.StatusGatewayTimeout)
 	}))
-	course := drain.Schedule{Began: time.Now().Add(-time.Second), Grace: 3 * time.Second}
-	p.Drain(course, noCallers)
+	schedule := drain.Schedule{Began: time.Now().Add(-time.Second), Grace: 3 * time.Second}
+	p.Drain(schedule, noCallers)
 	p.run(reservation(), "id")
-	left := time.Until(course.WorkEnds())
+	left := time.Until(schedule.WorkEnds())
 	milliseconds, err := strconv.Atoi(<-handed)
 	assert.NilError(t, err)
 	assert.Assert(t, time.Duration(milliseconds)*time.Millisecond < left, "%d ms, the process ends in %s", milliseconds, left)
--- a/inbound/stop.go
+++ b/inbound/stop.go
@@ -12,12 +12,12 @@
 // are granted for as long as the schedule admits requests; otherwise the server would be idle
 // during the whole shutdown. callers reports whether requests of callers are in flight in this
 // process.
-func (in *Inbound) Drain(course drain.Schedule, callers func() bool) {
+func (in *Inbound) Drain(schedule drain.Schedule, callers func() bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.shutdown == nil {
-		in.shutdown, in.callersInFlight = &course, callers
-		in.recordLeaving(course.Began, stoppingReason)
+		in.shutdown, in.callersInFlight = &schedule, callers
+		in.recordLeaving(schedule.Began, stoppingReason)
 	}
 }
 
