--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Bucket is a token bucket: it fills by the rate, up to the burst.
+// Bucket is a token bucket. It is refilled at the rate, in tokens per second, up to the burst.
 type Bucket struct {
 	rate, burst float64
 	level       float64
 	at          time.Time
 }
 
-// leastBurst lets single requests through where a limit has a rate and no burst.
-const leastBurst = 1
+// minBurst lets single requests through if a limit has a rate and no burst.
+const minBurst = 1
 
-// NewBucket returns a bucket with a share of its burst in it, one token at least.
+// NewBucket returns a bucket that holds the given share of its burst, and at least one token.
 func NewBucket(now time.Time, rate, burst, share float64) *Bucket {
 	b := &Bucket{at: now}
 	b.Set(now, rate, burst)
-	b.level = max(share*b.burst, leastBurst)
+	b.level = max(share*b.burst, minBurst)
 	return b
 }
 
-// Set changes rate and burst. Tokens beyond the new burst are lost.
+// Set changes rate and burst. Tokens beyond the new burst are dropped.
 func (b *Bucket) Set(now time.Time, rate, burst float64) {
 	b.fill(now)
-	b.rate, b.burst = rate, max(burst, leastBurst)
+	b.rate, b.burst = rate, max(burst, minBurst)
 	b.level = min(b.level, b.burst)
 }
 
-// fill adds what came since the last look. A clock that went back adds nothing.
+// fill adds the tokens that accrued since the last call. A clock that went back adds none.
 func (b *Bucket) fill(now time.Time) {
 	if passed := now.Sub(b.at); passed > 0 {
 		b.level = min(b.level+b.rate*passed.Seconds(), b.burst)
@@ -38,19 +38,19 @@
 	}
 }
 
-// Lose leaves one token in the bucket, if there are more.
+// DropToOne leaves one token in the bucket, if there are more.
 func (b *Bucket) Lose(now time.Time) {
 	b.fill(now)
-	b.level = min(b.level, leastBurst)
+	b.level = min(b.level, minBurst)
 }
 
-// Level returns how many tokens are in the bucket.
+// Level returns the number of tokens in the bucket.
 func (b *Bucket) Level(now time.Time) float64 {
 	b.fill(now)
 	return b.level
 }
 
-// Take takes a number of tokens, if they are there.
+// Take removes a number of tokens and reports whether there were enough.
 func (b *Bucket) Take(now time.Time, tokens float64) bool {
 	b.fill(now)
 	if b.level < tokens {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// Next returns how long it takes until the bucket has a token.
+// Next returns the time until the bucket has a token.
 func (b *Bucket) Next(now time.Time) time.Duration {
 	b.fill(now)
 	missing := 1 - b.level
--- a/ratelimit/explore_test.go
+++ b/ratelimit/explore_test.go
@@ -11,52 +11,53 @@
 	"slatewind.example/slatewind/internal/explore"
 )
 
-// The exploration: one process that has requests, and two that give a workspace's tokens, with
-// the real Spender and Ledger. Messages are lost, come twice and come late; a process that
-// gives starts anew; the home moves from the first to the second, which all hear of at any
-// time, in any order. Time passes in whole ticks.
+// The exploration covers one process with requests (the consumer) and two that allocate the tokens
+// of a workspace, with the real Consumer and Allocator. Messages are lost, duplicated and delayed;
+// an allocating process restarts; the home moves from the first to the second, which the processes
+// learn at any time and in any order. Time passes in whole ticks.
 
 const (
 	exploredTick     = 300 * time.Millisecond
 	exploredTicks    = 1
 	exploredRequests = 5
 	exploredBurst    = 2
-	// exploredMessages is how many may be on their way at once.
+	// exploredMessages is the maximum number of messages in flight.
 	exploredMessages = 2
-	// exploredTrouble is how much may go wrong: restarts, moves, messages that come twice.
-	exploredTrouble = 1
+	// exploredFaults is the maximum number of faults: restarts, moves and duplicated messages.
+	exploredFaults = 1
 )
 
-// exploredLimit is the workspace's. Nothing comes while the play lasts, so that what is let
-// through is counted exactly.
+// exploredLimit is the limit of the workspace. No tokens accrue during the exploration, so that the
+// number of allowed requests is exact.
 var exploredLimit = slatewind.WorkspaceLimit{Workspace: "w", Rate: 1e-9, Burst: exploredBurst, Version: 1}
 
-// message is a question on its way to a giver, or its answer on the way back.
+// message is a token request on its way to an allocator, or the reply on its way back.
 type message struct {
-	to     int
-	role   Role
-	answer bool
-	reply  Answer
-	// attempt tells the questions of a request apart, so that a late answer is known as one.
+	to      int
+	role    Role
+	isReply bool
+	reply   Answer
+	// attempt distinguishes the token requests of a request, so that a late reply is recognised.
 	attempt int
 }
 
-// explored is a state of the play.
+// explored is a state of the exploration.
 type explored struct {
 	tick    int
 	ledgers [2]*Ledger
-	// home is the giver that comes first; views are what the asker and the givers believe.
+	// home is the allocator that ranks first; asker and views are the home as known to the consumer
+	// and to the allocators.
 	home, asker int
 	views       [2]int
-	spender     Spender
+	consumer    Spender
 	messages    []message
-	// attempt numbers the open question, 0 where there is none; second says that it went to
-	// the second giver.
-	attempt, last  int
-	second         bool
-	sent, allowed  int
-	trouble, moves int
-	restarts       int
+	// attempt is the number of the open token request, 0 if there is none; second means that it was
+	// sent to the second allocator.
+	attempt, last int
+	second        bool
+	sent, allowed int
+	faults, moves int
+	restarts      int
 }
 
 func (s *explored) now() time.Time {
@@ -74,22 +75,22 @@
 			c.ledgers[i].accounts[name] = &copied
 		}
 	}
-	if s.spender.alone != nil {
-		alone := *s.spender.alone
-		c.spender.alone = &alone
+	if s.consumer.isolated != nil {
+		isolated := *s.consumer.isolated
+		c.consumer.isolated = &isolated
 	}
 	return &c
 }
 
-// key tells states apart that differ in what may follow.
+// key distinguishes states that may continue differently.
 func (out safeguards) key(s *explored) string {
-	text := fmt.Sprintf("%d %d %d %v %t %t %d %d %d %d|", s.tick, s.home, s.asker, s.views, s.attempt > 0, s.second, s.sent, s.allowed, s.trouble, s.restarts)
+	text := fmt.Sprintf("%d %d %d %v %t %t %d %d %d %d|", s.tick, s.home, s.asker, s.views, s.attempt > 0, s.second, s.sent, s.allowed, s.faults, s.restarts)
 	for _, m := range s.messages {
-		if m.answer && m.attempt != s.attempt && !out.lateAnswers {
+		if m.isReply && m.attempt != s.attempt && !out.lateReplies {
 			continue
 		}
-		// Of the attempt it matters only whether it is the open one.
-		text += fmt.Sprintf("%d %s %t %d %t,", m.to, m.role, m.answer, m.reply.Tokens, m.attempt == s.attempt)
+		// Only whether the attempt is the open one matters.
+		text += fmt.Sprintf("%d %s %t %d %t,", m.to, m.role, m.isReply, m.reply.Tokens, m.attempt == s.attempt)
 	}
 	for _, l := range s.ledgers {
 		text += fmt.Sprint("|", l.since.UnixMilli())
@@ -97,18 +98,19 @@
 			text += fmt.Sprintf(" %s %.2f %d %d", a.role, a.bucket.level, a.bucket.at.UnixMilli(), a.used.UnixMilli())
 		}
 	}
-	sp := s.spender
-	return text + fmt.Sprintf("|%d %d %d %t", sp.held, sp.expires.UnixMilli(), sp.refused.UnixMilli(), sp.alone != nil)
+	sp := s.consumer
+	return text + fmt.Sprintf("|%d %d %d %t", sp.held, sp.expires.UnixMilli(), sp.refusedUntil.UnixMilli(), sp.isolated != nil)
 }
 
-// safeguards are what an exploration may leave out.
+// safeguards are the safeguards that an exploration leaves out.
 type safeguards struct {
-	// lateAnswers are taken, homes believe whoever takes them for one, giving processes begin
-	// with a full bucket, and the second gives as the home does.
-	lateAnswers, believing, full, equal bool
+	// lateReplies: late replies are accepted; trustRole: an allocator accepts the role stated in a
+	// token request; fullStart: processes start with a full bucket; fullShare: the second allocator
+	// grants as much as the home.
+	lateReplies, trustRole, fullStart, fullShare bool
 }
 
-// next calls step with what may follow.
+// next calls step with each possible next state.
 func (out safeguards) next(s *explored, step func(string, *explored)) {
 	if s.attempt == 0 && s.sent < exploredRequests {
 		c := s.clone()
@@ -119,47 +121,47 @@
 		c := s.clone()
 		m := c.messages[i]
 		c.messages = append(c.messages[:i], c.messages[i+1:]...)
-		if m.answer && m.attempt != s.attempt && !out.lateAnswers {
-			continue // It changes nothing. What never comes is lost.
+		if m.isReply && m.attempt != s.attempt && !out.lateReplies {
+			continue // No effect. A message that is never delivered is lost.
 		}
-		if s.trouble < exploredTrouble {
-			twice := s.clone()
-			twice.trouble++
-			out.deliver(twice, m)
-			step(fmt.Sprint("comes and comes again: ", m), twice)
+		if s.faults < exploredFaults {
+			duplicated := s.clone()
+			duplicated.faults++
+			out.deliver(duplicated, m)
+			step(fmt.Sprint("delivered twice: ", m), duplicated)
 		}
 		out.deliver(c, m)
-		step(fmt.Sprint("comes: ", m), c)
+		step(fmt.Sprint("delivered: ", m), c)
 	}
 	if s.attempt > 0 {
 		c := s.clone()
 		c.timeOut()
-		step("no answer in time", c)
+		step("token request timed out", c)
 	}
 	if s.tick < exploredTicks {
 		c := s.clone()
 		c.tick++
 		step("time passes", c)
 	}
-	out.troubles(s, step)
+	out.faultSteps(s, step)
 }
 
-// troubles calls step with what may go wrong.
-func (out safeguards) troubles(s *explored, step func(string, *explored)) {
-	if s.trouble < exploredTrouble {
+// faultSteps calls step with each state that a fault or a process learning of a move leads to.
+func (out safeguards) faultSteps(s *explored, step func(string, *explored)) {
+	if s.faults < exploredFaults {
 		for i := range s.ledgers {
 			c := s.clone()
-			c.trouble++
+			c.faults++
 			c.restarts++
 			c.ledgers[i] = NewLedger(c.now())
-			if out.full {
-				c.ledgers[i] = fullLedger(c.now())
+			if out.fullStart {
+				c.ledgers[i] = fullAllocator(c.now())
 			}
-			step(fmt.Sprint("giver starts anew: ", i), c)
+			step(fmt.Sprint("allocator restarts: ", i), c)
 		}
 		if s.home == 0 {
 			c := s.clone()
-			c.trouble++
+			c.faults++
 			c.home = 1
 			c.moves++
 			step("the home moves", c)
@@ -168,7 +170,7 @@
 	if s.asker != s.home {
 		c := s.clone()
 		c.asker = c.home
-		step("the asker hears of it", c)
+		step("the consumer learns of the move", c)
 	}
 	for i := range s.views {
 		if s.views[i] == s.home {
@@ -177,22 +179,22 @@
 		c := s.clone()
 		c.views[i] = c.home
 		c.ledgers[i].Moved(c.now(), func(string) Role { return c.roleOf(i) })
-		step(fmt.Sprint("a giver hears of it: ", i), c)
+		step(fmt.Sprint("an allocator learns of the move: ", i), c)
 	}
 }
 
-// roleOf returns a giver's role as it knows the hosts.
-func (s *explored) roleOf(giver int) Role {
-	if s.views[giver] == giver {
+// roleOf returns the role of an allocator, given the hosts it knows.
+func (s *explored) roleOf(allocator int) Role {
+	if s.views[allocator] == allocator {
 		return RoleHome
 	}
 	return RoleStandIn
 }
 
-// request begins a request.
+// request starts a request.
 func (s *explored) request() {
 	s.sent++
-	switch s.spender.Begin(s.now(), exploredLimit) {
+	switch s.consumer.Begin(s.now(), exploredLimit) {
 	case StepAllow:
 		s.allowed++
 	case StepAsk:
@@ -209,43 +211,43 @@
 	}
 }
 
-// timeOut gives up the open question, as Limiter.ask does.
+// timeOut abandons the open token request, as Limiter.ask does.
 func (s *explored) timeOut() {
 	if !s.second {
 		s.ask(1-s.asker, RoleStandIn, true)
 		return
 	}
 	s.attempt = 0
-	if s.spender.Unanswered(s.now()) == StepAllow {
+	if s.consumer.Unanswered(s.now()) == StepAllow {
 		s.allowed++
 	}
 }
 
-// deliver brings a message to where it goes.
+// deliver delivers a message to its recipient.
 func (out safeguards) deliver(s *explored, m message) {
-	if m.answer {
-		if m.attempt != s.attempt && !out.lateAnswers {
+	if m.isReply {
+		if m.attempt != s.attempt && !out.lateReplies {
 			return
 		}
 		s.attempt = 0
-		if s.spender.Answered(s.now(), m.reply) == StepAllow {
+		if s.consumer.Answered(s.now(), m.reply) == StepAllow {
 			s.allowed++
 		}
 		return
 	}
 	role := m.role
-	if role == RoleHome && s.roleOf(m.to) != RoleHome && !out.believing {
+	if role == RoleHome && s.roleOf(m.to) != RoleHome && !out.trustRole {
 		role = RoleStandIn
 	}
-	if out.equal {
+	if out.fullShare {
 		role = RoleHome
 	}
 	reply := s.ledgers[m.to].Take(s.now(), Question{Limit: exploredLimit, Tokens: 1, Role: role})
-	s.messages = append(s.messages, message{to: m.to, answer: true, reply: reply, attempt: m.attempt})
+	s.messages = append(s.messages, message{to: m.to, isReply: true, reply: reply, attempt: m.attempt})
 }
 
-// check returns whether more was let through than the burst, one token for each process that
-// began to give anew, and one for the part of a stand-in at whoever is or was the second.
+// check returns an error if more requests were allowed than the burst, one token for each restarted
+// process, and one for the share of a stand-in at each process that is or was the second.
 func (s *explored) check() error {
 	allowed := exploredBurst + s.restarts + 1 + 2*s.moves
 	if s.allowed > allowed {
@@ -254,20 +256,20 @@
 	return nil
 }
 
-// fullLedger returns that of a home whose bucket is full.
-func fullLedger(now time.Time) *Ledger {
+// fullAllocator returns the allocator of a home whose bucket is full.
+func fullAllocator(now time.Time) *Ledger {
 	l := NewLedger(now)
 	l.accounts["w"] = &account{limit: exploredLimit, role: RoleHome, used: now, bucket: NewBucket(now, exploredLimit.Rate, exploredBurst, 1)}
 	return l
 }
 
-// explore plays all orders.
+// explore visits all orders of events.
 func (out safeguards) explore() explore.Result {
 	start := &explored{}
 	now := start.now()
-	start.ledgers = [2]*Ledger{fullLedger(now), NewLedger(now)}
-	if out.equal {
-		start.ledgers[1] = fullLedger(now)
+	start.ledgers = [2]*Ledger{fullAllocator(now), NewLedger(now)}
+	if out.fullShare {
+		start.ledgers[1] = fullAllocator(now)
 	}
 	return explore.Model[*explored, string]{
 		Start: start, Key: out.key, Check: (*explored).check, MaxStates: 700_000,
@@ -275,8 +277,8 @@
 	}.Run()
 }
 
-// TestLimitInAllOrders: whatever becomes of messages, and whenever the home starts anew or moves,
-// no more is let through than burst and parts allow.
+// TestLimitInAllOrders checks that, whatever happens to messages and whenever the home restarts or
+// moves, no more requests are allowed than burst and shares permit.
 func TestLimitInAllOrders(t *testing.T) {
 	t.Parallel()
 	result := safeguards{}.explore()
@@ -284,14 +286,14 @@
 	t.Logf("%d states", result.States)
 }
 
-// TestLimitInAllOrdersWithoutSafeguard: without a safeguard the exploration finds the order that
-// breaks the limit.
+// TestLimitInAllOrdersWithoutSafeguard checks that without a safeguard the exploration finds an
+// order of events that exceeds the limit.
 func TestLimitInAllOrdersWithoutSafeguard(t *testing.T) {
 	t.Parallel()
 	tests := map[string]safeguards{
-		"late answers are taken":               {lateAnswers: true},
-		"a process that begins has all tokens": {full: true},
-		"the second gives as the home does":    {equal: true},
+		"late answers are taken":               {lateReplies: true},
+		"a process that begins has all tokens": {fullStart: true},
+		"the second gives as the home does":    {fullShare: true},
 	}
 	for name, out := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/ratelimit/homes.go
+++ b/ratelimit/homes.go
@@ -6,24 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Homes tells which processes give a workspace's tokens. All processes that know the same
-// hosts agree, and a host that comes or goes moves only the workspaces for which it comes
-// first. It is safe for use by several goroutines.
+// Homes determines by rendezvous hashing which processes allocate the tokens of a workspace. All
+// processes that know the same hosts agree, and when a host joins or leaves, only the workspaces
+// for which it ranks first move. It is safe for concurrent use.
 type Homes struct {
 	mu sync.Mutex
-	// servers holds the hosts of the known servers, hosts counts the servers at each.
+	// servers maps the known servers to their hosts, hosts counts the servers per host.
 	servers map[string]string
 	hosts   map[string]int
-	// known keeps what was worked out since hosts last changed.
+	// known caches the ranking per workspace since the hosts last changed.
 	known map[string][2]string
 }
 
-// NewHomes returns homes without hosts.
+// NewHomes returns an empty Homes.
 func NewHomes() *Homes {
 	return &Homes{servers: map[string]string{}, hosts: map[string]int{}, known: map[string][2]string{}}
 }
 
-// Put notes a server at a host. It reports whether the hosts changed.
+// Put adds a server at a host or moves it there. It reports whether the set of hosts changed.
 func (h *Homes) Put(server, host string) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,7 +41,7 @@
 	return changed
 }
 
-// Remove notes that a server is gone. It reports whether the hosts changed.
+// Remove removes a server. It reports whether the set of hosts changed.
 func (h *Homes) Remove(server string) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,7 +50,7 @@
 	return known && h.leave(host)
 }
 
-// leave takes a server from a host and reports whether it was the last there. The lock is
+// leave removes a server from its host and reports whether it was the last one there. The lock is
 // held.
 func (h *Homes) leave(host string) (last bool) {
 	h.hosts[host]--
@@ -62,8 +62,8 @@
 	return true
 }
 
-// Of returns the hosts whose processes come first and second for a workspace. They are empty
-// where there are none.
+// Of returns the hosts that rank first and second for a workspace. They are empty if there are no
+// such hosts.
 func (h *Homes) Of(workspace string) (first, second string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,8 +75,7 @@
 	return pair[0], pair[1]
 }
 
-// rank works out which hosts come first: those with the highest hash of workspace and host.
-// The lock is held.
+// rank returns the two hosts with the highest hashes of workspace and host. The lock is held.
 func (h *Homes) rank(workspace string) (pair [2]string) {
 	var best [2]uint64
 	for host := range h.hosts {
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -14,97 +14,99 @@
 )
 
 const (
-	// askTime bounds the wait for a process that gives tokens. A round trip takes some
-	// milliseconds; one that was lost on its way is repeated after 200.
-	askTime = 80 * time.Millisecond
-	// silentTime is how long a process that did not answer is not asked again.
-	silentTime = 500 * time.Millisecond
-	// refusedPause is the same where the connection was refused, which costs a round trip: the
-	// next process there gives at once, and nobody should give in its place any more.
-	refusedPause = 50 * time.Millisecond
-	// spenderShards is how many locks the workspaces of a process share.
-	spenderShards = 16
-	// mostSpenders bounds the workspaces that a shard remembers.
-	mostSpenders = 8192
+	// requestTimeout limits the wait for a process that allocates tokens. A round trip takes some
+	// milliseconds; a lost packet is retransmitted only after 200 ms.
+	requestTimeout = 80 * time.Millisecond
+	// unresponsiveBackoff is the time for which a process that did not reply is not asked again.
+	unresponsiveBackoff = 500 * time.Millisecond
+	// refusedBackoff is the same after a refused connection, which costs only a round trip: as soon
+	// as a new process listens there it allocates again, and nobody should do so in its place any
+	// longer.
+	refusedBackoff = 50 * time.Millisecond
+	// consumerShards is the number of locks that the workspaces of a process share.
+	consumerShards = 16
+	// maxConsumersPerShard limits the number of workspaces that a shard remembers.
+	maxConsumersPerShard = 8192
 )
 
-// Peers asks the processes at other hosts.
+// Peers sends token requests to the processes at other hosts.
 type Peers interface {
 	Take(ctx context.Context, host string, q Question) (Answer, error)
 	// NotRunning reports whether an error proves that no process runs there.
 	NotRunning(err error) bool
 }
 
-// Limiter keeps the limits at one process, in both roles: it asks for tokens and gives them.
-// It is safe for use by several goroutines.
+// Limiter enforces the limits at one process, in both roles: it requests tokens and allocates them.
+// It is safe for concurrent use.
 type Limiter struct {
 	self  string
 	peers Peers
-	// own returns a workspace's limit as this process's settings have it.
+	// own returns the limit of a workspace in the settings of this process.
 	own   func(workspace string) slatewind.WorkspaceLimit
 	homes *Homes
 
-	ledgerMu sync.Mutex
-	ledger   *Ledger
+	allocatorMu sync.Mutex
+	allocator   *Ledger
 
-	shards [spenderShards]spenders
+	shards [consumerShards]consumers
 
-	// clock counts the time too in which the VM was suspended: what is held lapses meanwhile.
+	// clock includes the time for which the VM was suspended, since prefetched tokens expire
+	// meanwhile.
 	clock timer.Clock
 
-	silentMu sync.Mutex
-	silent   map[string]silence
+	outagesMu sync.Mutex
+	outages   map[string]outage
 }
 
-// spenders are the workspaces of one shard.
-type spenders struct {
+// consumers holds the workspaces of one shard; mu guards them.
+type consumers struct {
 	mu  sync.Mutex
 	all map[string]*Spender
 }
 
-// silence says that a process did not answer.
-type silence struct {
+// outage records that a process did not reply and is not asked again until a given time.
+type outage struct {
 	until time.Time
-	// proved says that it does not run.
+	// proved means that the process is known not to run.
 	proved bool
 }
 
-// New returns the limiter of the process at a host. own returns a workspace's limit as this
-// process's settings have it.
+// New returns the limiter of the process at host self. own returns the limit of a workspace in the
+// settings of this process.
 func New(now time.Time, self string, peers Peers, own func(workspace string) slatewind.WorkspaceLimit) *Limiter {
-	l := &Limiter{self: self, peers: peers, own: own, homes: NewHomes(), silent: map[string]silence{}}
-	l.ledger = NewLedger(l.counted(now))
+	l := &Limiter{self: self, peers: peers, own: own, homes: NewHomes(), outages: map[string]outage{}}
+	l.allocator = NewLedger(l.withSuspension(now))
 	for i := range l.shards {
 		l.shards[i].all = map[string]*Spender{}
 	}
 	return l
 }
 
-// Put notes a server at a host: the process beside it may give tokens.
+// Put adds a server at a host, whose sidecar may allocate tokens from now on.
 func (l *Limiter) Put(now time.Time, server, host string) {
 	if l.homes.Put(server, host) {
-		l.moved(now)
+		l.hostsChanged(now)
 	}
 }
 
-// Remove notes that a server is gone.
+// Remove removes a server.
 func (l *Limiter) Remove(now time.Time, server string) {
 	if l.homes.Remove(server) {
-		l.moved(now)
+		l.hostsChanged(now)
 	}
 }
 
-// moved tells the ledger that the hosts changed.
-func (l *Limiter) moved(now time.Time) {
-	l.ledgerMu.Lock()
-	defer l.ledgerMu.Unlock()
-	l.ledger.Moved(l.counted(now), l.ownRole)
+// hostsChanged updates the allocator after the set of hosts changed.
+func (l *Limiter) hostsChanged(now time.Time) {
+	l.allocatorMu.Lock()
+	defer l.allocatorMu.Unlock()
+	l.allocator.Moved(l.withSuspension(now), l.ownRole)
 }
 
-// counted adds to a time that in which the VM was suspended so far.
-func (l *Limiter) counted(now time.Time) time.Time { return now.Add(l.clock.Suspended()) }
+// withSuspension adds the time for which the VM has been suspended so far.
+func (l *Limiter) withSuspension(now time.Time) time.Time { return now.Add(l.clock.Suspended()) }
 
-// ownRole returns this process's role for a workspace as it knows the hosts, empty where it
+// ownRole returns the role of this process for a workspace, given the hosts it knows; empty if it
 // has none.
 func (l *Limiter) ownRole(workspace string) Role {
 	switch first, second := l.homes.Of(workspace); l.self {
@@ -116,26 +118,26 @@
 	return ""
 }
 
-// Give answers another process's question. One that takes this process for the home is given
-// a stand-in's part as long as this process does not know that it is: the home before may
-// still give.
+// Grant replies to the token request of another process. If that process takes this one for the
+// home but this one does not know so, it grants only the share of a stand-in: the previous home may
+// still be granting.
 func (l *Limiter) Give(now time.Time, q Question) Answer {
 	if q.Role == RoleHome && l.ownRole(q.Limit.Workspace) != RoleHome {
 		q.Role = RoleStandIn
 	}
 	if own := l.own(q.Limit.Workspace); own.Version > q.Limit.Version {
 		if own.Rate <= 0 {
-			// The asker has not heard yet that there is no limit any more.
+			// The requesting process has not yet received the settings without a limit.
 			return Answer{Tokens: q.Tokens, Role: q.Role}
 		}
 		q.Limit = own
 	}
-	l.ledgerMu.Lock()
-	defer l.ledgerMu.Unlock()
-	return l.ledger.Take(l.counted(now), q)
+	l.allocatorMu.Lock()
+	defer l.allocatorMu.Unlock()
+	return l.allocator.Take(l.withSuspension(now), q)
 }
 
-// Admit implements slatewind.Limiter: a request costs its workspace one token.
+// Admit implements slatewind.Limiter: each request costs its workspace one token.
 func (l *Limiter) Admit(ctx context.Context, limit slatewind.WorkspaceLimit) slatewind.LimitVerdict {
 	if limit.Rate <= 0 {
 		return slatewind.LimitVerdict{Allowed: true}
@@ -143,7 +145,7 @@
 	var step Step
 	var wanted int
 	l.update(limit.Workspace, func(s *Spender) {
-		now := l.counted(time.Now())
+		now := l.withSuspension(time.Now())
 		step, wanted = s.Begin(now, limit), s.Want(now)
 	})
 	if step == StepAllow {
@@ -157,10 +159,10 @@
 	return l.decide(limit, step, answer, answered)
 }
 
-// decide ends a request that a spender could not allow by itself.
+// decide returns the verdict on a request that needed more than the prefetched tokens.
 func (l *Limiter) decide(limit slatewind.WorkspaceLimit, step Step, answer Answer, answered bool) (v slatewind.LimitVerdict) {
 	l.update(limit.Workspace, func(s *Spender) {
-		now := l.counted(time.Now())
+		now := l.withSuspension(time.Now())
 		switch {
 		case step == StepRefuse:
 		case answered:
@@ -178,14 +180,14 @@
 	return v
 }
 
-// update gives the state of a workspace to f under its lock.
+// update calls f with the consumer of a workspace while holding the lock of its shard.
 func (l *Limiter) update(workspace string, f func(s *Spender)) {
-	shard := &l.shards[xxhash.Sum64String(workspace)%spenderShards]
+	shard := &l.shards[xxhash.Sum64String(workspace)%consumerShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	s := shard.all[workspace]
 	if s == nil {
-		if len(shard.all) >= mostSpenders {
+		if len(shard.all) >= maxConsumersPerShard {
 			clear(shard.all)
 		}
 		s = &Spender{}
@@ -194,8 +196,8 @@
 	f(s)
 }
 
-// ask asks the home of a workspace and, where that does not answer, the process that comes
-// second.
+// ask requests tokens from the home of a workspace and, if that does not reply, from the process
+// that ranks second.
 func (l *Limiter) ask(ctx context.Context, q Question) (Answer, bool) {
 	first, second := l.homes.Of(q.Limit.Workspace)
 	q.Role = RoleHome
@@ -211,46 +213,47 @@
 	return answer, state == nil
 }
 
-// askOne asks the process at a host. It returns why that did not answer, or nil.
-func (l *Limiter) askOne(ctx context.Context, host string, q Question) (Answer, *silence) {
+// askOne requests tokens from the process at a host. It returns the outage if that did not reply,
+// or nil.
+func (l *Limiter) askOne(ctx context.Context, host string, q Question) (Answer, *outage) {
 	if host == "" {
-		return Answer{}, &silence{}
+		return Answer{}, &outage{}
 	}
 	if host == l.self {
 		return l.Give(time.Now(), q), nil
 	}
-	l.silentMu.Lock()
-	known, ok := l.silent[host]
-	l.silentMu.Unlock()
+	l.outagesMu.Lock()
+	known, ok := l.outages[host]
+	l.outagesMu.Unlock()
 	if ok && time.Now().Before(known.until) {
 		return Answer{}, &known
 	}
-	asking, cancel := context.WithTimeout(ctx, askTime)
+	askCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	answer, err := l.peers.Take(asking, host, q)
+	answer, err := l.peers.Take(askCtx, host, q)
 	if err != nil && ctx.Err() != nil {
-		// The caller left, which says nothing of the process that was asked.
-		return Answer{}, &silence{}
+		// The caller left, which says nothing about the process that was asked.
+		return Answer{}, &outage{}
 	}
-	l.silentMu.Lock()
-	defer l.silentMu.Unlock()
+	l.outagesMu.Lock()
+	defer l.outagesMu.Unlock()
 	if err == nil {
-		delete(l.silent, host)
+		delete(l.outages, host)
 		return answer, nil
 	}
-	known = silence{until: time.Now().Add(silentTime), proved: l.peers.NotRunning(err)}
+	known = outage{until: time.Now().Add(unresponsiveBackoff), proved: l.peers.NotRunning(err)}
 	if known.proved {
-		known.until = time.Now().Add(refusedPause)
+		known.until = time.Now().Add(refusedBackoff)
 	}
-	l.silent[host] = known
+	l.outages[host] = known
 	return Answer{}, &known
 }
 
-// Uses returns the state of the workspaces whose tokens this process gives, by name.
+// Uses returns the state of the workspaces whose tokens this process allocates, sorted by name.
 func (l *Limiter) Uses(now time.Time) []Use {
-	l.ledgerMu.Lock()
-	uses := l.ledger.Uses(l.counted(now))
-	l.ledgerMu.Unlock()
+	l.allocatorMu.Lock()
+	uses := l.allocator.Uses(l.withSuspension(now))
+	l.allocatorMu.Unlock()
 	slices.SortFunc(uses, func(a, b Use) int { return strings.Compare(a.Workspace, b.Workspace) })
 	return uses
 }
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -11,88 +11,88 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// The model plays a fleet in virtual time: processes that get requests of workspaces, the
-// messages between them, and what befalls both. Spender, Ledger and Homes are the real ones;
-// the model takes the place of Limiter, which only adds locks and calls.
+// The model simulates a fleet in virtual time: processes that receive requests of workspaces, the
+// messages between them, and faults of both. Consumer, Allocator and Homes are the real ones; the
+// model replaces Limiter, which only adds locks and calls.
 
 // Times of the model.
 const (
-	// hop is the time of a message one way, in the mean.
+	// hop is the mean one-way latency of a message.
 	hop = time.Millisecond
-	// askTimeout is how long an asker waits, as Limiter does.
+	// askTimeout is the wait for a reply, as in Limiter.
 	askTimeout = 80 * time.Millisecond
-	// silentFor is how long an asker leaves a silent process alone, as Limiter does.
+	// silentFor is the back-off after a process did not reply, as in Limiter.
 	silentFor = 500 * time.Millisecond
-	// refusedFor is the same for one that refused the connection.
+	// refusedFor is the back-off after a refused connection, as in Limiter.
 	refusedFor = 50 * time.Millisecond
-	// viewAge bounds how late a process hears that hosts changed.
+	// viewAge is the maximum delay until a process learns that the set of hosts changed.
 	viewAge = 1775 * time.Millisecond
-	// window is that of the operators' bound.
+	// window is the period of the excess that operators accept.
 	window = 5 * time.Second
 )
 
-// fault is what befalls processes in a play.
+// fault is a fault of some processes in a scenario.
 type fault struct {
 	at, lasts time.Duration
-	// share of the processes, or those that come first for a workspace.
+	// share is the share of processes that are hit; homeOf adds the home of a workspace.
 	share  float64
 	homeOf string
-	what   trouble
+	what   faultKind
 }
 
-// trouble names a kind of fault.
-type trouble string
+// faultKind is the kind of a fault.
+type faultKind string
 
 const (
-	// troubleKill ends processes; others start in their places when it is over.
-	troubleKill trouble = "kill"
-	// troubleFreeze stops processes; they go on when it is over.
-	troubleFreeze trouble = "freeze"
-	// troubleCut keeps messages from crossing between these processes and all others.
-	troubleCut trouble = "cut"
-	// troubleLeave takes hosts away for good; others hear of it within viewAge.
-	troubleLeave trouble = "leave"
+	// faultKill ends processes; new ones start in their places when the fault is over.
+	faultKill faultKind = "kill"
+	// faultFreeze suspends processes; they continue when the fault is over.
+	faultFreeze faultKind = "freeze"
+	// faultCut drops messages between these processes and all others.
+	faultCut faultKind = "cut"
+	// faultLeave removes hosts permanently; others learn of it within viewAge.
+	faultLeave faultKind = "leave"
 )
 
-// load is one workspace's.
+// load is the limit and the traffic of one workspace.
 type load struct {
 	name        string
 	rate, burst float64
-	// sends is how many requests a second come, at a time.
+	// sends returns the arrival rate in requests per second at a time.
 	sends func(at time.Duration) float64
-	// at returns the process that a request comes to; nil draws one.
+	// at returns the process that receives a request; nil means a random one.
 	at func(r *rand.Rand, at time.Duration) int
-	// lowered is the rate and burst from loweredAt on, if that is not zero.
+	// lowered is the rate and burst from loweredAt on, if loweredAt is not zero.
 	lowered   float64
 	loweredAt time.Duration
 }
 
-// play is one run of the model.
-type play struct {
+// scenario holds the parameters of one run of the model.
+type scenario struct {
 	processes int
 	loads     []load
 	faults    []fault
 	lasts     time.Duration
 	loss      float64
 	seed      uint64
-	// way makes the way of limiting that is played.
-	way func(m *model) way
+	// strategy returns the strategy of rate limiting to simulate.
+	strategy func(m *model) strategy
 }
 
-// way is one way to keep limits over all processes.
-type way interface {
-	// request decides about a request at a process; done may be called later.
+// strategy is a way to enforce limits across all processes.
+type strategy interface {
+	// request decides on a request at a process; done may be called later.
 	request(process int, l *load, limit slatewind.WorkspaceLimit, done func(allowed bool))
-	// restarted says that another process started in the place of one.
+	// restarted is called when a new process has started in place of another one.
 	restarted(process int)
-	// moved says that a process has heard which hosts there are.
+	// moved is called when a process has learned the current set of hosts.
 	moved(process int, hosts []bool)
 }
 
-// event is something that happens at a time.
+// event is a callback at a point in virtual time.
 type event struct {
 	at time.Duration
-	// order keeps events of one time in the order in which they were made.
+	// order keeps events of the same time in the order in which they were scheduled.
 	order int
 	run   func()
 }
@@ -111,17 +111,17 @@
 	return last
 }
 
-// model is the state of a play.
+// model is the state of a run.
 type model struct {
-	play
+	scenario
 	now    time.Duration
 	queue  events
 	order  int
 	random *rand.Rand
 
-	// dead, frozen and cut say what holds for each process now; present which hosts there are.
+	// dead, frozen and cut hold the faults per process; present tells which hosts exist.
 	dead, frozen, cut, present []bool
-	// held are events of frozen processes.
+	// held are the postponed events of frozen processes.
 	held [][]func()
 
 	messages  int
@@ -132,10 +132,10 @@
 	inLimit   map[string]int
 }
 
-// epoch is the model's beginning as the decisions see it.
+// epoch is the start of the virtual time passed to the code under test.
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock returns the time as decisions see it.
+// clock returns the virtual time passed to the code under test.
 func (m *model) clock() time.Time { return epoch.Add(m.now) }
 
 func (m *model) after(d time.Duration, run func()) {
@@ -143,7 +143,7 @@
 	heap.Push(&m.queue, event{m.now + d, m.order, run})
 }
 
-// send carries a message from one process to another, if it arrives.
+// send delivers a message from one process to another, unless it is lost.
 func (m *model) send(from, to int, arrive func()) {
 	m.messages++
 	if m.cut[from] != m.cut[to] || m.dead[to] || m.random.Float64() < m.loss {
@@ -153,7 +153,7 @@
 	m.after(delay, func() { m.at(to, arrive) })
 }
 
-// at runs something at a process: not while it is dead, and later while it is frozen.
+// at runs a callback at a process: never if it is dead, later if it is frozen.
 func (m *model) at(process int, run func()) {
 	switch {
 	case m.dead[process]:
@@ -164,14 +164,16 @@
 	}
 }
 
-// outcome is what a play came to.
+// outcome is the result of a run.
 type outcome struct {
-	// over is the most that was admitted in a window, as a share of what operators allow.
+	// over is the highest number of requests allowed in a window, relative to what operators
+	// accept.
 	over  float64
 	worst string
-	// refused is the share of what is inside the limits that was not admitted.
+	// refused is the share of requests inside the limits that was refused.
 	refused float64
-	// delay is added to a request in the mean, messages are sent for it.
+	// delay is the mean added latency per request, messages the mean number of messages per
+	// request.
 	delay    time.Duration
 	messages float64
 	requests int
@@ -182,10 +184,10 @@
 		o.over, o.worst, 100*o.refused, o.delay.Round(10*time.Microsecond), o.messages, o.requests)
 }
 
-// run plays.
-func (p play) run() outcome {
+// run executes the scenario.
+func (p scenario) run() outcome {
 	m := &model{
-		play: p, random: rand.New(rand.NewPCG(p.seed, 1)),
+		scenario: p, random: rand.New(rand.NewPCG(p.seed, 1)),
 		dead: make([]bool, p.processes), frozen: make([]bool, p.processes), cut: make([]bool, p.processes), present: make([]bool, p.processes),
 		held:     make([][]func(), p.processes),
 		admitted: map[string][]time.Duration{}, reference: map[string]*ratelimit.Bucket{}, inLimit: map[string]int{},
@@ -193,12 +195,12 @@
 	for i := range m.present {
 		m.present[i] = true
 	}
-	w := p.way(m)
+	w := p.strategy(m)
 	for i := range m.present {
 		w.moved(i, m.hosts())
 	}
 	for _, f := range p.faults {
-		m.after(f.at, func() { m.strike(w, f) })
+		m.after(f.at, func() { m.begin(w, f) })
 	}
 	for i := range p.loads {
 		l := &p.loads[i]
@@ -215,7 +217,7 @@
 
 func (m *model) hosts() []bool { return append([]bool(nil), m.present...) }
 
-// limitOf returns a workspace's limit now.
+// limitOf returns the current limit of a workspace.
 func (m *model) limitOf(l *load) slatewind.WorkspaceLimit {
 	if l.loweredAt > 0 && m.now >= l.loweredAt {
 		return slatewind.WorkspaceLimit{Workspace: l.name, Rate: l.lowered, Burst: l.lowered, Version: 2}
@@ -223,8 +225,8 @@
 	return slatewind.WorkspaceLimit{Workspace: l.name, Rate: l.rate, Burst: l.burst, Version: 1}
 }
 
-// next draws the next request of a workspace.
-func (m *model) next(w way, l *load) {
+// next schedules the next request of a workspace.
+func (m *model) next(w strategy, l *load) {
 	rate := l.sends(m.now)
 	if rate <= 0 {
 		m.after(100*time.Millisecond, func() { m.next(w, l) })
@@ -236,8 +238,8 @@
 	})
 }
 
-// arrive is a request that comes to a process. Callers go elsewhere where none runs.
-func (m *model) arrive(w way, l *load) {
+// arrive delivers a request to a process. Callers pick another process if the first does not run.
+func (m *model) arrive(w strategy, l *load) {
 	process := -1
 	for range 20 {
 		process = m.random.IntN(m.processes)
@@ -270,30 +272,30 @@
 	})
 }
 
-// strike begins a fault, and ends it in time.
-func (m *model) strike(w way, f fault) {
-	struck := m.struck(f)
-	for _, i := range struck {
+// begin starts a fault and schedules its end.
+func (m *model) begin(w strategy, f fault) {
+	affected := m.affected(f)
+	for _, i := range affected {
 		switch f.what {
-		case troubleKill:
+		case faultKill:
 			m.dead[i] = true
 			m.held[i] = nil
-		case troubleFreeze:
+		case faultFreeze:
 			m.frozen[i] = true
-		case troubleCut:
+		case faultCut:
 			m.cut[i] = true
-		case troubleLeave:
+		case faultLeave:
 			m.dead[i], m.present[i] = true, false
 		}
 	}
-	if f.what == troubleLeave {
-		m.tellHosts(w)
+	if f.what == faultLeave {
+		m.announceHosts(w)
 		return
 	}
-	m.after(f.lasts, func() { m.mend(w, f, struck) })
+	m.after(f.lasts, func() { m.end(w, f, affected) })
 }
 
-func (m *model) struck(f fault) (struck []int) {
+func (m *model) affected(f fault) (affected []int) {
 	for i := range m.processes {
 		first := false
 		if f.homeOf != "" {
@@ -307,48 +309,49 @@
 			first = host == hostOf(i)
 		}
 		if first || m.random.Float64() < f.share {
-			struck = append(struck, i)
+			affected = append(affected, i)
 		}
 	}
-	return struck
+	return affected
 }
 
-func (m *model) mend(w way, f fault, struck []int) {
-	for _, i := range struck {
+func (m *model) end(w strategy, f fault, affected []int) {
+	for _, i := range affected {
 		switch f.what {
-		case troubleKill:
+		case faultKill:
 			m.dead[i] = false
 			w.restarted(i)
 			w.moved(i, m.hosts())
-		case troubleFreeze:
+		case faultFreeze:
 			m.frozen[i] = false
 			held := m.held[i]
 			m.held[i] = nil
 			for _, run := range held {
 				run()
 			}
-		case troubleCut:
+		case faultCut:
 			m.cut[i] = false
 		}
 	}
 }
 
-// tellHosts has each process hear within viewAge which hosts there are.
-func (m *model) tellHosts(w way) {
+// announceHosts has each process learn the set of hosts within viewAge.
+func (m *model) announceHosts(w strategy) {
 	for i := range m.processes {
 		late := time.Duration(m.random.Float64() * float64(viewAge))
-		// News never goes back: what is heard is what holds now.
+		// An update never reverts to an older state: processes learn the hosts as of the time of
+		// delivery.
 		m.after(late, func() { m.at(i, func() { w.moved(i, m.hosts()) }) })
 	}
 }
 
-// Allowance of operators beyond a limit, over a window.
+// Excess over a limit that operators accept in a window.
 const (
 	overage = 0.25
 	slack   = 20
 )
 
-// outcome sums up a play.
+// outcome summarises the run.
 func (m *model) outcome() outcome {
 	o := outcome{requests: m.decided, messages: float64(m.messages) / float64(max(m.decided, 1)), delay: m.delay / time.Duration(max(m.decided, 1))}
 	missed, inside := 0, 0
@@ -365,8 +368,8 @@
 	return o
 }
 
-// worstWindow returns the most that was admitted in a window as a share of what is allowed. A
-// lower limit counts from a window after it came.
+// worstWindow returns the highest number of requests allowed in a window, relative to what
+// operators accept. A lowered limit applies one window after the change.
 func (l *load) worstWindow(times []time.Duration) (worst float64) {
 	first := 0
 	for i, at := range times {
--- a/ratelimit/ways_test.go
+++ b/ratelimit/strategies_test.go
@@ -7,39 +7,39 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// tokens is the way that is kept: a token of the workspace's home for each request.
+// tokens is the strategy of the package: each request needs a token from the home of its workspace.
 type tokens struct {
 	m         *model
 	processes []*tokenProcess
 	without   safeguard
 }
 
-// safeguard names one that a play leaves out.
+// safeguard names a safeguard that a scenario leaves out.
 type safeguard string
 
 // Safeguards.
 const (
 	withAll safeguard = ""
-	// withoutStart has homes begin with a full bucket.
+	// withoutStart: homes start with a full bucket.
 	withoutStart safeguard = "a home begins with a part of the burst"
-	// withoutStandIn has whoever is asked second give all of the limit.
+	// withoutStandIn: the process that ranks second always grants the full limit.
 	withoutStandIn safeguard = "a stand-in gives a part"
-	// withoutPause has successors keep what came while nobody asked them.
+	// withoutPause: successors keep the tokens that accrued while nobody asked them.
 	withoutPause safeguard = "a successor begins anew"
-	// withoutAlone lets everything through where nobody answers.
+	// withoutAlone: all requests are allowed if no process replies.
 	withoutAlone safeguard = "who reaches nobody spends a part of what it had"
 )
 
-// leaving returns the way without a safeguard.
-func leaving(out safeguard) func(*model) way {
-	return func(m *model) way {
+// tokensWithout returns the tokens strategy without a safeguard.
+func tokensWithout(out safeguard) func(*model) strategy {
+	return func(m *model) strategy {
 		t := newTokens(m).(*tokens)
 		t.without = out
 		return t
 	}
 }
 
-// hostView is what a process knows of the hosts.
+// hostView holds the hosts that a process knows.
 type hostView struct {
 	homes *ratelimit.Homes
 	known []bool
@@ -49,8 +49,8 @@
 	return hostView{homes: ratelimit.NewHomes(), known: make([]bool, processes)}
 }
 
-// hear takes which hosts there are.
-func (v hostView) hear(hosts []bool) {
+// update applies the current set of hosts.
+func (v hostView) update(hosts []bool) {
 	for i, there := range hosts {
 		switch {
 		case there && !v.known[i]:
@@ -64,13 +64,13 @@
 
 type tokenProcess struct {
 	hostView
-	ledger   *ratelimit.Ledger
-	spenders map[string]*ratelimit.Spender
-	silent   map[int]time.Duration
-	proved   map[int]bool
+	ledger    *ratelimit.Ledger
+	consumers map[string]*ratelimit.Spender
+	silent    map[int]time.Duration
+	proved    map[int]bool
 }
 
-func newTokens(m *model) way {
+func newTokens(m *model) strategy {
 	t := &tokens{m: m, processes: make([]*tokenProcess, m.processes)}
 	for i := range t.processes {
 		t.restarted(i)
@@ -81,13 +81,13 @@
 func (t *tokens) restarted(process int) {
 	t.processes[process] = &tokenProcess{
 		hostView: newHostView(t.m.processes), ledger: ratelimit.NewLedger(t.m.clock()),
-		spenders: map[string]*ratelimit.Spender{}, silent: map[int]time.Duration{}, proved: map[int]bool{},
+		consumers: map[string]*ratelimit.Spender{}, silent: map[int]time.Duration{}, proved: map[int]bool{},
 	}
 }
 
 func (t *tokens) moved(process int, hosts []bool) {
 	p := t.processes[process]
-	p.hear(hosts)
+	p.update(hosts)
 	now := t.m.clock()
 	if t.without == withoutStart {
 		now = now.Add(-time.Hour)
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// processAt returns the number of the process at a host, or -1.
+// processAt returns the index of the process at a host, or -1.
 func processAt(host string) int {
 	var a, b int
 	if n, _ := sscanHost(host, &a, &b); n != 2 {
@@ -116,10 +116,10 @@
 
 func (t *tokens) request(process int, l *load, limit slatewind.WorkspaceLimit, done func(bool)) {
 	p := t.processes[process]
-	s := p.spenders[l.name]
+	s := p.consumers[l.name]
 	if s == nil {
 		s = &ratelimit.Spender{}
-		p.spenders[l.name] = s
+		p.consumers[l.name] = s
 	}
 	switch s.Begin(t.m.clock(), limit) {
 	case ratelimit.StepAllow:
@@ -150,7 +150,7 @@
 	})
 }
 
-// ask asks one process, as Limiter.askOne does.
+// ask requests tokens from one process, as Limiter.askOne does.
 func (t *tokens) ask(from, to int, q ratelimit.Question, done func(answer ratelimit.Answer, answered, proved bool)) {
 	m, p := t.m, t.processes[from]
 	switch {
@@ -158,7 +158,7 @@
 		done(ratelimit.Answer{}, false, false)
 		return
 	case to == from:
-		done(t.give(to, q), true, false)
+		done(t.grant(to, q), true, false)
 		return
 	case m.now < p.silent[to]:
 		done(ratelimit.Answer{}, false, p.proved[to])
@@ -185,14 +185,14 @@
 		return
 	}
 	m.send(from, to, func() {
-		answer := t.give(to, q)
+		answer := t.grant(to, q)
 		m.send(to, from, func() { end(answer, true, false) })
 	})
 	m.after(askTimeout, func() { m.at(from, func() { end(ratelimit.Answer{}, false, false) }) })
 }
 
-// give answers as Limiter.Give does.
-func (t *tokens) give(process int, q ratelimit.Question) ratelimit.Answer {
+// grant replies as Limiter.Grant does.
+func (t *tokens) grant(process int, q ratelimit.Question) ratelimit.Answer {
 	p := t.processes[process]
 	if t.without == withoutPause && q.Role == ratelimit.RoleSuccessor {
 		q.Role = ratelimit.RoleHome
@@ -204,8 +204,8 @@
 	return p.ledger.Take(t.m.clock(), q)
 }
 
-// counts lets requests through and counts them at the home afterwards, which tells whoever
-// counts there when the workspace is over its limit.
+// counts is a strategy that allows requests and counts them at the home afterwards, which notifies
+// the sender if the workspace is over its limit.
 type counts struct {
 	m         *model
 	processes []*countProcess
@@ -223,7 +223,7 @@
 	at    time.Duration
 }
 
-func newCounts(m *model) way {
+func newCounts(m *model) strategy {
 	c := &counts{m: m, processes: make([]*countProcess, m.processes)}
 	for i := range c.processes {
 		c.restarted(i)
@@ -237,7 +237,7 @@
 	}
 }
 
-func (c *counts) moved(process int, hosts []bool) { c.processes[process].hear(hosts) }
+func (c *counts) moved(process int, hosts []bool) { c.processes[process].update(hosts) }
 
 func (c *counts) request(process int, l *load, limit slatewind.WorkspaceLimit, done func(bool)) {
 	p := c.processes[process]
@@ -256,12 +256,12 @@
 		if over <= 0 {
 			return
 		}
-		told := func() { p.refused[l.name] = c.m.now + over }
+		refuse := func() { p.refused[l.name] = c.m.now + over }
 		if home == process {
-			told()
+			refuse()
 			return
 		}
-		c.m.send(home, process, told)
+		c.m.send(home, process, refuse)
 	}
 	if home == process {
 		count()
@@ -270,7 +270,7 @@
 	c.m.send(process, home, count)
 }
 
-// count takes a request off the workspace's bucket and returns for how long it is overdrawn.
+// count takes a request off the bucket of the workspace and returns for how long it is overdrawn.
 func (c *counts) count(home int, limit slatewind.WorkspaceLimit) time.Duration {
 	p := c.processes[home]
 	b := p.buckets[limit.Workspace]
@@ -287,15 +287,16 @@
 	return time.Duration((1 - b.level) / limit.Rate * float64(time.Second))
 }
 
-// shares gives each process the part of the limit that its part of the demand is, as it was
-// told with the news of a while ago.
+// shares is a strategy that gives each process the share of the limit that equals its share of the
+// demand, as published some time ago.
 type shares struct {
 	m     *model
 	local []map[string]*shareBucket
-	// demand of each workspace at each process over the last period, and what was told of all.
+	// demand is the demand of each workspace at each process in the current period; sum is the
+	// published total over all processes, seen what each process last received of it.
 	demand []map[string]float64
 	sum    map[string]float64
-	told   []map[string]float64
+	seen   []map[string]float64
 	own    []map[string]float64
 }
 
@@ -304,32 +305,33 @@
 }
 
 const (
-	// newsPause is how often a process tells and hears, newsAge how old what it hears is.
-	newsPause = 450 * time.Millisecond
-	newsAge   = 900 * time.Millisecond
-	// newcomers is the share of a limit for processes of which nothing was told.
-	newcomers = 0.2
+	// publishInterval is the interval at which a process exchanges demands, publishDelay the age of
+	// what it receives.
+	publishInterval = 450 * time.Millisecond
+	publishDelay    = 900 * time.Millisecond
+	// reserve is the share of a limit that is split evenly, for processes without published demand.
+	reserve = 0.2
 )
 
-func newShares(m *model) way {
-	s := &shares{m: m, local: make([]map[string]*shareBucket, m.processes), demand: make([]map[string]float64, m.processes), sum: map[string]float64{}, told: make([]map[string]float64, m.processes), own: make([]map[string]float64, m.processes)}
+func newShares(m *model) strategy {
+	s := &shares{m: m, local: make([]map[string]*shareBucket, m.processes), demand: make([]map[string]float64, m.processes), sum: map[string]float64{}, seen: make([]map[string]float64, m.processes), own: make([]map[string]float64, m.processes)}
 	for i := range s.local {
 		s.restarted(i)
-		m.after(time.Duration(m.random.Float64()*float64(newsPause)), func() { s.news(i) })
+		m.after(time.Duration(m.random.Float64()*float64(publishInterval)), func() { s.exchange(i) })
 	}
 	return s
 }
 
 func (s *shares) restarted(process int) {
 	s.local[process], s.demand[process] = map[string]*shareBucket{}, map[string]float64{}
-	s.told[process], s.own[process] = map[string]float64{}, map[string]float64{}
+	s.seen[process], s.own[process] = map[string]float64{}, map[string]float64{}
 }
 
 func (s *shares) moved(int, []bool) {}
 
-// news has a process tell its demand and hear of everyone's.
-func (s *shares) news(process int) {
-	s.m.after(newsPause, func() { s.news(process) })
+// exchange publishes the demand of a process and receives the totals.
+func (s *shares) exchange(process int) {
+	s.m.after(publishInterval, func() { s.exchange(process) })
 	if s.m.dead[process] || s.m.frozen[process] || s.m.cut[process] {
 		return
 	}
@@ -339,7 +341,7 @@
 	before := s.own[process]
 	now := map[string]float64{}
 	for name, n := range demand {
-		now[name] = 0.5*before[name] + 0.5*n/newsPause.Seconds()
+		now[name] = 0.5*before[name] + 0.5*n/publishInterval.Seconds()
 	}
 	for name, n := range before {
 		if _, ok := now[name]; !ok && n > 0.001 {
@@ -347,7 +349,7 @@
 		}
 	}
 	s.own[process] = now
-	s.m.after(newsAge, func() {
+	s.m.after(publishDelay, func() {
 		for name := range before {
 			s.sum[name] -= before[name]
 		}
@@ -355,19 +357,19 @@
 			s.sum[name] += now[name]
 		}
 	})
-	told := map[string]float64{}
+	seen := map[string]float64{}
 	for name, n := range s.sum {
-		told[name] = n
+		seen[name] = n
 	}
-	s.told[process] = told
+	s.seen[process] = seen
 }
 
 func (s *shares) request(process int, l *load, limit slatewind.WorkspaceLimit, done func(bool)) {
 	s.demand[process][l.name]++
 	b := s.local[process][l.name]
-	part := newcomers / float64(s.m.processes)
-	if sum := s.told[process][l.name]; sum > 0 {
-		part += (1 - newcomers) * min(s.own[process][l.name]/sum, 1)
+	part := reserve / float64(s.m.processes)
+	if sum := s.seen[process][l.name]; sum > 0 {
+		part += (1 - reserve) * min(s.own[process][l.name]/sum, 1)
 	}
 	if b == nil {
 		b = &shareBucket{bucket: ratelimit.NewBucket(s.m.clock(), part*limit.Rate, part*limit.Burst, 1)}
--- a/ratelimit/suspended_test.go
+++ b/ratelimit/suspended_test.go
@@ -11,22 +11,22 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// givingPeers give what is asked for and count the questions.
-type givingPeers struct{ asked int }
+// grantingPeers grant five tokens per token request and count the requests.
+type grantingPeers struct{ asked int }
 
 // Take implements Peers.
-func (p *givingPeers) Take(context.Context, string, Question) (Answer, error) {
+func (p *grantingPeers) Take(context.Context, string, Question) (Answer, error) {
 	p.asked++
 	return Answer{Tokens: 5, Level: 100, Role: RoleHome}, nil
 }
 
 // NotRunning implements Peers.
-func (*givingPeers) NotRunning(error) bool { return false }
+func (*grantingPeers) NotRunning(error) bool { return false }
 
-// TestSuspendedTokens: tokens that are held ahead lapse while the VM is suspended.
+// TestSuspendedTokens checks that prefetched tokens expire while the VM is suspended.
 func TestSuspendedTokens(t *testing.T) {
 	var suspended time.Duration
-	peers := &givingPeers{}
+	peers := &grantingPeers{}
 	l := New(time.Now(), "self", peers, func(string) slatewind.WorkspaceLimit { return slatewind.WorkspaceLimit{} })
 	l.clock = timer.Clock{Suspension: func() time.Duration { return suspended }}
 	l.Put(time.Now(), "s-1", "home")
--- a/ratelimit/parts_test.go
+++ b/ratelimit/unit_test.go
@@ -14,14 +14,14 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// TestBucket: what is taken in any time stays within rate and burst, whatever the clock does.
+// TestBucket checks that tokens taken stay within rate and burst, even if the clock goes back.
 func TestBucket(t *testing.T) {
 	tests := map[string]struct {
 		rate, burst, share float64
-		// at are the times in milliseconds at which a token is asked for, ok what comes of it.
+		// at are the times in milliseconds at which a token is taken, ok the results ("y" or "n").
 		at []int
 		ok string
-		// next is until when the next one comes after the last question, in milliseconds.
+		// next is the time in milliseconds from the last attempt to the next token.
 		next int
 	}{
 		"the burst and then the rate":      {rate: 10, burst: 2, share: 1, at: []int{0, 0, 0, 100, 100}, ok: "yynyn", next: 100},
@@ -49,14 +49,14 @@
 	}
 }
 
-// limit returns a workspace's limit.
+// limit returns a limit of the test workspace.
 func limit(rate, burst float64, version uint64) slatewind.WorkspaceLimit {
 	return slatewind.WorkspaceLimit{Workspace: "w", Rate: rate, Burst: burst, Version: version}
 }
 
-// TestTurns: callers that are refused are told times one after the other, as fast as tokens
-// come, and no time beyond mostTurn.
-func TestTurns(t *testing.T) {
+// TestRetryTimes checks that refused callers are given consecutive retry times at the rate of the limit,
+// none beyond maxTurn.
+func TestRetryTimes(t *testing.T) {
 	l := ratelimit.NewLedger(epoch)
 	q := ratelimit.Question{Limit: limit(10, 1, 1), Tokens: 1, Role: ratelimit.RoleHome}
 	assert.Equal(t, l.Take(epoch, q).Tokens, 1)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestLowerLimitBinds: the first question that states newer settings lowers the limit, and one
-// that states older ones does not raise it again.
+// TestLowerLimitBinds checks that the first token request with newer settings lowers the limit, and
+// that one with older settings does not raise it again.
 func TestLowerLimitBinds(t *testing.T) {
 	l := ratelimit.NewLedger(epoch)
 	take := func(at time.Duration, of slatewind.WorkspaceLimit) (given int) {
@@ -84,9 +84,9 @@
 	assert.Equal(t, take(14*time.Second, limit(100, 100, 1)), 5)
 }
 
-// TestSpender: tokens ahead are spent before they go stale, and a refusal is not repeated at
-// once.
-func TestSpender(t *testing.T) {
+// TestConsumer checks that prefetched tokens are spent until they expire, and that a refusal is
+// repeated locally for a short time instead of asking again.
+func TestConsumer(t *testing.T) {
 	s := &ratelimit.Spender{}
 	of := limit(100, 100, 1)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
@@ -102,8 +102,9 @@
 	assert.Equal(t, s.Begin(at(454), limit(5, 5, 2)), ratelimit.StepAsk, "held tokens were those of the older limit")
 }
 
-// TestSpenderAlone: a process that reaches nobody spends at half of the pace that it had.
-func TestSpenderAlone(t *testing.T) {
+// TestIsolatedConsumer checks that a process that reaches no other spends at half its previous
+// rate.
+func TestIsolatedConsumer(t *testing.T) {
 	s := &ratelimit.Spender{}
 	now := epoch
 	for range 400 {
@@ -120,8 +121,9 @@
 	assert.Assert(t, allowed >= 45 && allowed <= 50, allowed)
 }
 
-// TestHomes: all who know the same hosts agree in whatever order they heard of them, and a
-// host that goes moves only what it came first for, to what came second.
+// TestHomes checks that processes which know the same hosts agree, in whatever order they learned
+// of them, and that the removal of a host moves only the workspaces for which it ranked first, to
+// the host that ranked second.
 func TestHomes(t *testing.T) {
 	one, other := ratelimit.NewHomes(), ratelimit.NewHomes()
 	for i := range 20 {
@@ -160,12 +162,12 @@
 	assert.Equal(t, empty, "")
 }
 
-// peers are limiters that ask one another by calls.
+// peers are limiters that call each other directly.
 type peers struct {
-	mu    sync.Mutex
-	all   map[string]*ratelimit.Limiter
-	away  map[string]error
-	asked int
+	mu       sync.Mutex
+	all      map[string]*ratelimit.Limiter
+	failures map[string]error
+	asked    int
 }
 
 var (
@@ -177,7 +179,7 @@
 func (p *peers) Take(_ context.Context, host string, q ratelimit.Question) (ratelimit.Answer, error) {
 	p.mu.Lock()
 	p.asked++
-	err := p.away[host]
+	err := p.failures[host]
 	p.mu.Unlock()
 	if err != nil {
 		return ratelimit.Answer{}, err
@@ -188,26 +190,26 @@
 // NotRunning implements ratelimit.Peers.
 func (p *peers) NotRunning(err error) bool { return errors.Is(err, errRefused) }
 
-// unknown is a process without settings.
-func unknown(string) slatewind.WorkspaceLimit { return slatewind.WorkspaceLimit{} }
+// noLimit returns the limit of a process without settings.
+func noLimit(string) slatewind.WorkspaceLimit { return slatewind.WorkspaceLimit{} }
 
-// TestLimiter: the processes share one limit; without the home less is given, and where the
-// home is proved not to run all of it.
+// TestLimiter checks that processes share one limit, that less is granted if the home does not
+// reply, and that a successor takes over if the home is known not to run.
 func TestLimiter(t *testing.T) {
 	tests := map[string]struct {
-		away error
-		// least and most are bounds of what is let through at once.
+		failure error
+		// least and most bound the number of requests that are allowed at once.
 		least, most int
 	}{
 		"the home answers":              {least: 20, most: 22},
-		"the home is silent":            {away: errSilent, least: 15, most: 16},
-		"the home is proved not to run": {away: errRefused, least: 1, most: 3},
+		"the home is silent":            {failure: errSilent, least: 15, most: 16},
+		"the home is proved not to run": {failure: errRefused, least: 1, most: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := &peers{all: map[string]*ratelimit.Limiter{}, away: map[string]error{}}
+			p := &peers{all: map[string]*ratelimit.Limiter{}, failures: map[string]error{}}
 			for i := range 5 {
-				p.all[hostOf(i)] = ratelimit.New(time.Now(), hostOf(i), p, unknown)
+				p.all[hostOf(i)] = ratelimit.New(time.Now(), hostOf(i), p, noLimit)
 			}
 			homes := ratelimit.NewHomes()
 			for i := range 5 {
@@ -217,7 +219,7 @@
 				}
 			}
 			first, _ := homes.Of("w")
-			p.away[first] = test.away
+			p.failures[first] = test.failure
 			allowed, refused := 0, slatewind.LimitVerdict{}
 			for i := range 400 {
 				if host := hostOf(i % 5); host != first {
@@ -239,8 +241,9 @@
 	}
 }
 
-// TestNewerLimitOfTheHome: a home that knows newer settings than the asker goes by its own.
-func TestNewerLimitOfTheHome(t *testing.T) {
+// TestHomeWithNewerLimit checks that a home with newer settings than the requesting process applies
+// its own.
+func TestHomeWithNewerLimit(t *testing.T) {
 	tests := map[string]struct {
 		own   slatewind.WorkspaceLimit
 		given int
@@ -263,28 +266,28 @@
 	}
 }
 
-// TestCallerThatLeaves: a question that ends since its caller left does not make the home silent
-// for the next caller.
-func TestCallerThatLeaves(t *testing.T) {
-	p := &peers{all: map[string]*ratelimit.Limiter{}, away: map[string]error{hostOf(1): context.Canceled}}
-	l := ratelimit.New(time.Now(), hostOf(0), p, unknown)
-	p.all[hostOf(1)] = ratelimit.New(time.Now(), hostOf(1), p, unknown)
+// TestCallerLeaves checks that a token request which was cancelled because its caller left does not
+// put the home into back-off for the next caller.
+func TestCallerLeaves(t *testing.T) {
+	p := &peers{all: map[string]*ratelimit.Limiter{}, failures: map[string]error{hostOf(1): context.Canceled}}
+	l := ratelimit.New(time.Now(), hostOf(0), p, noLimit)
+	p.all[hostOf(1)] = ratelimit.New(time.Now(), hostOf(1), p, noLimit)
 	for _, of := range []*ratelimit.Limiter{l, p.all[hostOf(1)]} {
 		of.Put(time.Now(), hostOf(1), hostOf(1))
 	}
 	left, leave := context.WithCancel(context.Background())
 	leave()
 	assert.Assert(t, !l.Admit(left, limit(5, 5, 1)).Allowed)
-	p.away = nil
+	p.failures = nil
 	assert.Assert(t, l.Admit(context.Background(), limit(5, 5, 1)).Allowed)
 	assert.Equal(t, p.asked, 2)
 }
 
-// TestNobodyAnswers: where neither the home nor the second answers, refusals do not say that
-// the workspace is over its limit.
-func TestNobodyAnswers(t *testing.T) {
-	p := &peers{all: map[string]*ratelimit.Limiter{}, away: map[string]error{hostOf(1): errSilent, hostOf(2): errSilent}}
-	l := ratelimit.New(time.Now(), hostOf(0), p, unknown)
+// TestNoReply checks that refusals do not state that the workspace is over its limit if neither
+// home nor stand-in reply.
+func TestNoReply(t *testing.T) {
+	p := &peers{all: map[string]*ratelimit.Limiter{}, failures: map[string]error{hostOf(1): errSilent, hostOf(2): errSilent}}
+	l := ratelimit.New(time.Now(), hostOf(0), p, noLimit)
 	for i := 1; i <= 2; i++ {
 		l.Put(time.Now(), hostOf(i), hostOf(i))
 	}
