--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -26,7 +26,7 @@
 type processPeers struct{ pool *link.Pool }
 
 // Take implements ratelimit.Peers.
-func (p processPeers) Take(ctx context.Context, address string, q ratelimit.Question) (ratelimit.Answer, error) {
+func (p processPeers) Take(ctx context.Context, address string, q ratelimit.TokenRequest) (ratelimit.TokenReply, error) {
 	return p.pool.Take(ctx, address, q)
 }
 
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -117,7 +117,7 @@
 	n.admin = &http.Server{Handler: admin.NewHandler(n.sources()), ReadHeaderTimeout: readHeaderTimeout}
 	n.peers = grpc.NewServer(link.ServerOptions()...)
 	slatewindv1.RegisterSlotsServer(n.peers, link.SlotsServer{Serve: n.inbound.Serve})
-	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Give: n.limiter.Give})
+	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Give: n.limiter.Grant})
 	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{Known: n.since, Exchange: n.exchange, Told: n.told, Newest: n.feed.Current})
 	return serveAll(n.logger, []service{
 		{"callers", n.settings.GetIngressAddress(), n.callers.Serve},
--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -46,10 +46,10 @@
 }
 
 // Take implements ratelimit.Peers.
-func (p nodePeers) Take(ctx context.Context, host string, q ratelimit.Question) (ratelimit.Answer, error) {
+func (p nodePeers) Take(ctx context.Context, host string, q ratelimit.TokenRequest) (ratelimit.TokenReply, error) {
 	peer, err := p.node.peerOf(net.JoinHostPort(host, "0"))
 	if err != nil {
-		return ratelimit.Answer{}, err
+		return ratelimit.TokenReply{}, err
 	}
 	return p.node.pool.Take(ctx, peer, q)
 }
--- a/link/limits.go
+++ b/link/limits.go
@@ -12,7 +12,7 @@
 )
 
 // Take asks the process at an IP:port address for tokens of a workspace.
-func (p *Pool) Take(ctx context.Context, address string, q ratelimit.Question) (ratelimit.Answer, error) {
+func (p *Pool) Take(ctx context.Context, address string, q ratelimit.TokenRequest) (ratelimit.TokenReply, error) {
 	request := &slatewindv1.TakeRequest{
 		Workspace: q.Limit.Workspace, Rate: q.Limit.Rate, Burst: q.Limit.Burst, Version: q.Limit.Version,
 		Tokens: uint32(q.Tokens), Role: string(q.Role),
@@ -21,9 +21,9 @@
 	if err != nil {
 		err = errors.Join(err, p.dialError(address))
 		p.redial(address)
-		return ratelimit.Answer{}, err
+		return ratelimit.TokenReply{}, err
 	}
-	return ratelimit.Answer{
+	return ratelimit.TokenReply{
 		Tokens: int(reply.GetTokens()), Level: reply.GetLevel(), Role: roleOf(reply.GetRole()),
 		Next: time.Duration(reply.GetNextNanos()), Turn: time.Duration(reply.GetTurnNanos()),
 	}, nil
@@ -72,12 +72,12 @@
 type LimitsServer struct {
 	slatewindv1.UnimplementedRateLimitsServer
 	// Give answers a question.
-	Give func(now time.Time, q ratelimit.Question) ratelimit.Answer
+	Give func(now time.Time, q ratelimit.TokenRequest) ratelimit.TokenReply
 }
 
 // Take implements the generated interface.
 func (s LimitsServer) Take(_ context.Context, request *slatewindv1.TakeRequest) (*slatewindv1.TakeReply, error) {
-	answer := s.Give(time.Now(), ratelimit.Question{
+	answer := s.Give(time.Now(), ratelimit.TokenRequest{
 		Limit: slatewind.WorkspaceLimit{
 			Workspace: request.GetWorkspace(), Rate: request.GetRate(), Burst: request.GetBurst(), Version: request.GetVersion(),
 		},
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -20,7 +20,7 @@
 )
 
 // TokenRequest asks for tokens of a workspace.
-type Question struct {
+type TokenRequest struct {
 	// Limit is the limit of the workspace as known to the requesting process.
 	Limit slatewind.WorkspaceLimit
 	// Tokens is the number of tokens wanted; the first one is for a waiting request.
@@ -29,7 +29,7 @@
 }
 
 // TokenReply is the reply to a TokenRequest.
-type Answer struct {
+type TokenReply struct {
 	// Tokens is the number of tokens granted, possibly fewer than wanted.
 	Tokens int
 	// Next is the time until there is a token, Turn the time until there is one for this caller,
@@ -53,7 +53,7 @@
 
 // Allocator holds the accounts of the workspaces whose tokens a process allocates. It is not safe
 // for concurrent use.
-type Ledger struct {
+type Allocator struct {
 	accounts map[string]*account
 	// since is when the process started, or when the set of hosts last changed: before it, other
 	// processes may have granted tokens of the workspaces that this one allocates now.
@@ -63,14 +63,14 @@
 }
 
 // NewAllocator returns an allocator without accounts, of a process that starts now.
-func NewLedger(now time.Time) *Ledger {
-	return &Ledger{accounts: map[string]*account{}, since: now}
+func NewAllocator(now time.Time) *Allocator {
+	return &Allocator{accounts: map[string]*account{}, since: now}
 }
 
 // HostsChanged records that the set of hosts changed. roleOf returns the role of this process for a
 // workspace, empty if it has none. The accounts of workspaces that moved to other processes are
 // removed, since those grant tokens without notice.
-func (l *Ledger) Moved(now time.Time, roleOf func(workspace string) Role) {
+func (l *Allocator) HostsChanged(now time.Time, roleOf func(workspace string) Role) {
 	l.since = now
 	for name, a := range l.accounts {
 		switch role := roleOf(name); role {
@@ -83,7 +83,7 @@
 }
 
 // Take grants the wanted tokens as far as they are available.
-func (l *Ledger) Take(now time.Time, q Question) Answer {
+func (l *Allocator) Take(now time.Time, q TokenRequest) TokenReply {
 	l.sweep(now)
 	a := l.account(now, q)
 	a.used = now
@@ -95,11 +95,11 @@
 	for given < q.Tokens && a.bucket.Level(now) > a.bucket.burst/2 && a.bucket.Take(now, 1) {
 		given++
 	}
-	return Answer{Tokens: given, Level: a.bucket.Level(now), Role: a.role}
+	return TokenReply{Tokens: given, Level: a.bucket.Level(now), Role: a.role}
 }
 
 // account returns the account that a token request concerns, creating or updating it as needed.
-func (l *Ledger) account(now time.Time, q Question) *account {
+func (l *Allocator) account(now time.Time, q TokenRequest) *account {
 	a := l.accounts[q.Limit.Workspace]
 	if a == nil {
 		a = l.newAccount(now, q)
@@ -108,7 +108,7 @@
 	if q.Role == RoleSuccessor && now.Sub(a.used) > successorIdleTime {
 		// In the meantime the home granted the tokens that accrued. The share of a stand-in is
 		// always its own.
-		a.bucket.Lose(now)
+		a.bucket.DropToOne(now)
 	}
 	if q.Limit.Version > a.limit.Version {
 		a.limit = q.Limit
@@ -123,7 +123,7 @@
 
 // newAccount returns the account of a workspace for which this process had none. A home has granted
 // nothing since it became the home, so its bucket has been filling since then.
-func (l *Ledger) newAccount(now time.Time, q Question) *account {
+func (l *Allocator) newAccount(now time.Time, q TokenRequest) *account {
 	a := &account{limit: q.Limit, role: q.Role, used: now}
 	rate, burst := a.shares()
 	switch q.Role {
@@ -154,10 +154,10 @@
 
 // refuse returns the reply if there is no token. Refused callers are given consecutive retry times,
 // one per token at the rate of the limit, so that they do not all retry for the same token.
-func (a *account) refuse(now time.Time) Answer {
+func (a *account) refuse(now time.Time) TokenReply {
 	next := a.bucket.Next(now)
 	if next > maxTurn {
-		return Answer{Next: maxTurn, Turn: maxTurn, Level: a.bucket.Level(now), Role: a.role}
+		return TokenReply{Next: maxTurn, Turn: maxTurn, Level: a.bucket.Level(now), Role: a.role}
 	}
 	turn := now.Add(next)
 	if after := a.lastTurn.Add(time.Duration(float64(time.Second) / a.bucket.rate)); after.After(turn) {
@@ -167,7 +167,7 @@
 		turn = last
 	}
 	a.lastTurn = turn
-	return Answer{Next: next, Turn: turn.Sub(now), Level: a.bucket.Level(now), Role: a.role}
+	return TokenReply{Next: next, Turn: turn.Sub(now), Level: a.bucket.Level(now), Role: a.role}
 }
 
 // sweepInterval is the minimum time between two removals of unused accounts.
@@ -175,7 +175,7 @@
 
 // sweep removes accounts that are no longer requested once their buckets are full: a new account
 // would start with a full bucket too.
-func (l *Ledger) sweep(now time.Time) {
+func (l *Allocator) sweep(now time.Time) {
 	if now.Sub(l.swept) < sweepInterval {
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // Uses returns the state of all accounts, in no particular order.
-func (l *Ledger) Uses(now time.Time) []Use {
+func (l *Allocator) Uses(now time.Time) []Use {
 	uses := make([]Use, 0, len(l.accounts))
 	for name, a := range l.accounts {
 		uses = append(uses, Use{Workspace: name, Role: a.role, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.bucket.Level(now)})
--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -39,7 +39,7 @@
 }
 
 // DropToOne leaves one token in the bucket, if there are more.
-func (b *Bucket) Lose(now time.Time) {
+func (b *Bucket) DropToOne(now time.Time) {
 	b.fill(now)
 	b.level = min(b.level, minBurst)
 }
--- a/ratelimit/consumer.go
+++ b/ratelimit/consumer.go
@@ -23,7 +23,7 @@
 
 // Consumer decides on the requests of one workspace at one process. It is not safe for concurrent
 // use.
-type Spender struct {
+type Consumer struct {
 	limit slatewind.WorkspaceLimit
 	// held is the number of prefetched tokens; they may be spent until expires.
 	held    int
@@ -44,7 +44,7 @@
 }
 
 // Begin decides on a request as far as possible without asking another process.
-func (c *Spender) Begin(now time.Time, limit slatewind.WorkspaceLimit) Step {
+func (c *Consumer) Begin(now time.Time, limit slatewind.WorkspaceLimit) Step {
 	c.updateLimit(limit)
 	switch {
 	case now.Before(c.refusedUntil):
@@ -59,37 +59,37 @@
 
 // updateLimit applies a newer limit. It takes effect at once: tokens granted under the old one are
 // dropped.
-func (c *Spender) updateLimit(limit slatewind.WorkspaceLimit) {
+func (c *Consumer) updateLimit(limit slatewind.WorkspaceLimit) {
 	if limit.Version <= c.limit.Version {
 		return
 	}
 	if limit.Rate != c.limit.Rate || limit.Burst != c.limit.Burst {
-		*c = Spender{used: c.used, usedAt: c.usedAt}
+		*c = Consumer{used: c.used, usedAt: c.usedAt}
 	}
 	c.limit = limit
 }
 
 // Want returns the number of tokens to request: one for the waiting request, plus those likely to
 // be spent before prefetched tokens expire.
-func (c *Spender) Want(now time.Time) int {
+func (c *Consumer) Want(now time.Time) int {
 	ahead := c.Rate(now) * tokenHoldTime.Seconds()
 	return 1 + int(min(ahead, maxPrefetch))
 }
 
 // Rate returns the recent spending rate in tokens per second.
-func (c *Spender) Rate(now time.Time) float64 {
+func (c *Consumer) Rate(now time.Time) float64 {
 	passed := max(now.Sub(c.usedAt), 0)
 	return c.used * math.Exp(-float64(passed)/float64(usageWindow)) / usageWindow.Seconds()
 }
 
 // spend counts a spent token.
-func (c *Spender) spend(now time.Time) {
+func (c *Consumer) spend(now time.Time) {
 	c.used = c.Rate(now)*usageWindow.Seconds() + 1
 	c.usedAt = now
 }
 
 // Answered decides on a request for which a reply was received.
-func (c *Spender) Answered(now time.Time, a Answer) Step {
+func (c *Consumer) Answered(now time.Time, a TokenReply) Step {
 	c.isolated = nil
 	c.level, c.repliedAt, c.repliedBy = a.Level, now, a.Role
 	if a.Tokens == 0 {
@@ -107,7 +107,7 @@
 }
 
 // Unanswered decides on a request for which no process replied.
-func (c *Spender) Unanswered(now time.Time) Step {
+func (c *Consumer) Unanswered(now time.Time) Step {
 	if c.isolated == nil {
 		rate := isolatedShare * c.Rate(now)
 		c.isolated = &Bucket{rate: rate, burst: max(rate, minBurst), at: now}
@@ -121,7 +121,7 @@
 }
 
 // Evidence returns the evidence of a refusal in the journal.
-func (c *Spender) Evidence(now time.Time) string {
+func (c *Consumer) Evidence(now time.Time) string {
 	repliedAgo := "never"
 	if !c.repliedAt.IsZero() {
 		repliedAgo = now.Sub(c.repliedAt).Round(time.Millisecond).String()
@@ -131,6 +131,6 @@
 }
 
 // RetryAfter returns the time after which a caller that is refused now may retry.
-func (c *Spender) RetryAfter(now time.Time) time.Duration {
+func (c *Consumer) RetryAfter(now time.Time) time.Duration {
 	return max(c.turn.Sub(now), 0)
 }
--- a/ratelimit/explore_test.go
+++ b/ratelimit/explore_test.go
@@ -36,20 +36,20 @@
 	to      int
 	role    Role
 	isReply bool
-	reply   Answer
+	reply   TokenReply
 	// attempt distinguishes the token requests of a request, so that a late reply is recognised.
 	attempt int
 }
 
 // explored is a state of the exploration.
 type explored struct {
-	tick    int
-	ledgers [2]*Ledger
+	tick       int
+	allocators [2]*Allocator
 	// home is the allocator that ranks first; asker and views are the home as known to the consumer
 	// and to the allocators.
 	home, asker int
 	views       [2]int
-	consumer    Spender
+	consumer    Consumer
 	messages    []message
 	// attempt is the number of the open token request, 0 if there is none; second means that it was
 	// sent to the second allocator.
@@ -67,12 +67,12 @@
 func (s *explored) clone() *explored {
 	c := *s
 	c.messages = append([]message(nil), s.messages...)
-	for i, l := range s.ledgers {
-		c.ledgers[i] = &Ledger{accounts: map[string]*account{}, since: l.since, swept: l.swept}
+	for i, l := range s.allocators {
+		c.allocators[i] = &Allocator{accounts: map[string]*account{}, since: l.since, swept: l.swept}
 		for name, a := range l.accounts {
 			copied, bucket := *a, *a.bucket
 			copied.bucket = &bucket
-			c.ledgers[i].accounts[name] = &copied
+			c.allocators[i].accounts[name] = &copied
 		}
 	}
 	if s.consumer.isolated != nil {
@@ -92,7 +92,7 @@
 		// Only whether the attempt is the open one matters.
 		text += fmt.Sprintf("%d %s %t %d %t,", m.to, m.role, m.isReply, m.reply.Tokens, m.attempt == s.attempt)
 	}
-	for _, l := range s.ledgers {
+	for _, l := range s.allocators {
 		text += fmt.Sprint("|", l.since.UnixMilli())
 		if a := l.accounts["w"]; a != nil {
 			text += fmt.Sprintf(" %s %.2f %d %d", a.role, a.bucket.level, a.bucket.at.UnixMilli(), a.used.UnixMilli())
@@ -149,13 +149,13 @@
 // faultSteps calls step with each state that a fault or a process learning of a move leads to.
 func (out safeguards) faultSteps(s *explored, step func(string, *explored)) {
 	if s.faults < exploredFaults {
-		for i := range s.ledgers {
+		for i := range s.allocators {
 			c := s.clone()
 			c.faults++
 			c.restarts++
-			c.ledgers[i] = NewLedger(c.now())
+			c.allocators[i] = NewAllocator(c.now())
 			if out.fullStart {
-				c.ledgers[i] = fullAllocator(c.now())
+				c.allocators[i] = fullAllocator(c.now())
 			}
 			step(fmt.Sprint("allocator restarts: ", i), c)
 		}
@@ -178,7 +178,7 @@
 		}
 		c := s.clone()
 		c.views[i] = c.home
-		c.ledgers[i].Moved(c.now(), func(string) Role { return c.roleOf(i) })
+		c.allocators[i].HostsChanged(c.now(), func(string) Role { return c.roleOf(i) })
 		step(fmt.Sprint("an allocator learns of the move: ", i), c)
 	}
 }
@@ -242,7 +242,7 @@
 	if out.fullShare {
 		role = RoleHome
 	}
-	reply := s.ledgers[m.to].Take(s.now(), Question{Limit: exploredLimit, Tokens: 1, Role: role})
+	reply := s.allocators[m.to].Take(s.now(), TokenRequest{Limit: exploredLimit, Tokens: 1, Role: role})
 	s.messages = append(s.messages, message{to: m.to, isReply: true, reply: reply, attempt: m.attempt})
 }
 
@@ -257,8 +257,8 @@
 }
 
 // fullAllocator returns the allocator of a home whose bucket is full.
-func fullAllocator(now time.Time) *Ledger {
-	l := NewLedger(now)
+func fullAllocator(now time.Time) *Allocator {
+	l := NewAllocator(now)
 	l.accounts["w"] = &account{limit: exploredLimit, role: RoleHome, used: now, bucket: NewBucket(now, exploredLimit.Rate, exploredBurst, 1)}
 	return l
 }
@@ -267,9 +267,9 @@
 func (out safeguards) explore() explore.Result {
 	start := &explored{}
 	now := start.now()
-	start.ledgers = [2]*Ledger{fullAllocator(now), NewLedger(now)}
+	start.allocators = [2]*Allocator{fullAllocator(now), NewAllocator(now)}
 	if out.fullShare {
-		start.ledgers[1] = fullAllocator(now)
+		start.allocators[1] = fullAllocator(now)
 	}
 	return explore.Model[*explored, string]{
 		Start: start, Key: out.key, Check: (*explored).check, MaxStates: 700_000,
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -31,7 +31,7 @@
 
 // Peers sends token requests to the processes at other hosts.
 type Peers interface {
-	Take(ctx context.Context, host string, q Question) (Answer, error)
+	Take(ctx context.Context, host string, q TokenRequest) (TokenReply, error)
 	// NotRunning reports whether an error proves that no process runs there.
 	NotRunning(err error) bool
 }
@@ -46,7 +46,7 @@
 	homes *Homes
 
 	allocatorMu sync.Mutex
-	allocator   *Ledger
+	allocator   *Allocator
 
 	shards [consumerShards]consumers
 
@@ -61,7 +61,7 @@
 // consumers holds the workspaces of one shard; mu guards them.
 type consumers struct {
 	mu  sync.Mutex
-	all map[string]*Spender
+	all map[string]*Consumer
 }
 
 // outage records that a process did not reply and is not asked again until a given time.
@@ -75,9 +75,9 @@
 // settings of this process.
 func New(now time.Time, self string, peers Peers, own func(workspace string) slatewind.WorkspaceLimit) *Limiter {
 	l := &Limiter{self: self, peers: peers, own: own, homes: NewHomes(), outages: map[string]outage{}}
-	l.allocator = NewLedger(l.withSuspension(now))
+	l.allocator = NewAllocator(l.withSuspension(now))
 	for i := range l.shards {
-		l.shards[i].all = map[string]*Spender{}
+		l.shards[i].all = map[string]*Consumer{}
 	}
 	return l
 }
@@ -100,7 +100,7 @@
 func (l *Limiter) hostsChanged(now time.Time) {
 	l.allocatorMu.Lock()
 	defer l.allocatorMu.Unlock()
-	l.allocator.Moved(l.withSuspension(now), l.ownRole)
+	l.allocator.HostsChanged(l.withSuspension(now), l.ownRole)
 }
 
 // withSuspension adds the time for which the VM has been suspended so far.
@@ -121,14 +121,14 @@
 // Grant replies to the token request of another process. If that process takes this one for the
 // home but this one does not know so, it grants only the share of a stand-in: the previous home may
 // still be granting.
-func (l *Limiter) Give(now time.Time, q Question) Answer {
+func (l *Limiter) Grant(now time.Time, q TokenRequest) TokenReply {
 	if q.Role == RoleHome && l.ownRole(q.Limit.Workspace) != RoleHome {
 		q.Role = RoleStandIn
 	}
 	if own := l.own(q.Limit.Workspace); own.Version > q.Limit.Version {
 		if own.Rate <= 0 {
 			// The requesting process has not yet received the settings without a limit.
-			return Answer{Tokens: q.Tokens, Role: q.Role}
+			return TokenReply{Tokens: q.Tokens, Role: q.Role}
 		}
 		q.Limit = own
 	}
@@ -144,24 +144,24 @@
 	}
 	var step Step
 	var wanted int
-	l.update(limit.Workspace, func(s *Spender) {
+	l.update(limit.Workspace, func(s *Consumer) {
 		now := l.withSuspension(time.Now())
 		step, wanted = s.Begin(now, limit), s.Want(now)
 	})
 	if step == StepAllow {
 		return slatewind.LimitVerdict{Allowed: true}
 	}
-	var answer Answer
+	var answer TokenReply
 	answered := true
 	if step == StepAsk {
-		answer, answered = l.ask(ctx, Question{Limit: limit, Tokens: wanted})
+		answer, answered = l.ask(ctx, TokenRequest{Limit: limit, Tokens: wanted})
 	}
 	return l.decide(limit, step, answer, answered)
 }
 
 // decide returns the verdict on a request that needed more than the prefetched tokens.
-func (l *Limiter) decide(limit slatewind.WorkspaceLimit, step Step, answer Answer, answered bool) (v slatewind.LimitVerdict) {
-	l.update(limit.Workspace, func(s *Spender) {
+func (l *Limiter) decide(limit slatewind.WorkspaceLimit, step Step, answer TokenReply, answered bool) (v slatewind.LimitVerdict) {
+	l.update(limit.Workspace, func(s *Consumer) {
 		now := l.withSuspension(time.Now())
 		switch {
 		case step == StepRefuse:
@@ -181,7 +181,7 @@
 }
 
 // update calls f with the consumer of a workspace while holding the lock of its shard.
-func (l *Limiter) update(workspace string, f func(s *Spender)) {
+func (l *Limiter) update(workspace string, f func(s *Consumer)) {
 	shard := &l.shards[xxhash.Sum64String(workspace)%consumerShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -190,7 +190,7 @@
 		if len(shard.all) >= maxConsumersPerShard {
 			clear(shard.all)
 		}
-		s = &Spender{}
+		s = &Consumer{}
 		shard.all[workspace] = s
 	}
 	f(s)
@@ -198,7 +198,7 @@
 
 // ask requests tokens from the home of a workspace and, if that does not reply, from the process
 // that ranks second.
-func (l *Limiter) ask(ctx context.Context, q Question) (Answer, bool) {
+func (l *Limiter) ask(ctx context.Context, q TokenRequest) (TokenReply, bool) {
 	first, second := l.homes.Of(q.Limit.Workspace)
 	q.Role = RoleHome
 	answer, state := l.askOne(ctx, first, q)
@@ -215,25 +215,25 @@
 
 // askOne requests tokens from the process at a host. It returns the outage if that did not reply,
 // or nil.
-func (l *Limiter) askOne(ctx context.Context, host string, q Question) (Answer, *outage) {
+func (l *Limiter) askOne(ctx context.Context, host string, q TokenRequest) (TokenReply, *outage) {
 	if host == "" {
-		return Answer{}, &outage{}
+		return TokenReply{}, &outage{}
 	}
 	if host == l.self {
-		return l.Give(time.Now(), q), nil
+		return l.Grant(time.Now(), q), nil
 	}
 	l.outagesMu.Lock()
 	known, ok := l.outages[host]
 	l.outagesMu.Unlock()
 	if ok && time.Now().Before(known.until) {
-		return Answer{}, &known
+		return TokenReply{}, &known
 	}
 	askCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	answer, err := l.peers.Take(askCtx, host, q)
 	if err != nil && ctx.Err() != nil {
 		// The caller left, which says nothing about the process that was asked.
-		return Answer{}, &outage{}
+		return TokenReply{}, &outage{}
 	}
 	l.outagesMu.Lock()
 	defer l.outagesMu.Unlock()
@@ -246,7 +246,7 @@
 		known.until = time.Now().Add(refusedBackoff)
 	}
 	l.outages[host] = known
-	return Answer{}, &known
+	return TokenReply{}, &known
 }
 
 // Uses returns the state of the workspaces whose tokens this process allocates, sorted by name.
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -64,8 +64,8 @@
 
 type tokenProcess struct {
 	hostView
-	ledger    *ratelimit.Ledger
-	consumers map[string]*ratelimit.Spender
+	allocator *ratelimit.Allocator
+	consumers map[string]*ratelimit.Consumer
 	silent    map[int]time.Duration
 	proved    map[int]bool
 }
@@ -80,8 +80,8 @@
 
 func (t *tokens) restarted(process int) {
 	t.processes[process] = &tokenProcess{
-		hostView: newHostView(t.m.processes), ledger: ratelimit.NewLedger(t.m.clock()),
-		consumers: map[string]*ratelimit.Spender{}, silent: map[int]time.Duration{}, proved: map[int]bool{},
+		hostView: newHostView(t.m.processes), allocator: ratelimit.NewAllocator(t.m.clock()),
+		consumers: map[string]*ratelimit.Consumer{}, silent: map[int]time.Duration{}, proved: map[int]bool{},
 	}
 }
 
@@ -92,7 +92,7 @@
 	if t.without == withoutStart {
 		now = now.Add(-time.Hour)
 	}
-	p.ledger.Moved(now, func(workspace string) ratelimit.Role { return p.role(hostOf(process), workspace) })
+	p.allocator.HostsChanged(now, func(workspace string) ratelimit.Role { return p.role(hostOf(process), workspace) })
 }
 
 func (p *tokenProcess) role(host, workspace string) ratelimit.Role {
@@ -118,7 +118,7 @@
 	p := t.processes[process]
 	s := p.consumers[l.name]
 	if s == nil {
-		s = &ratelimit.Spender{}
+		s = &ratelimit.Consumer{}
 		p.consumers[l.name] = s
 	}
 	switch s.Begin(t.m.clock(), limit) {
@@ -130,8 +130,8 @@
 		return
 	}
 	first, second := p.homes.Of(l.name)
-	q := ratelimit.Question{Limit: limit, Tokens: s.Want(t.m.clock()), Role: ratelimit.RoleHome}
-	t.ask(process, processAt(first), q, func(answer ratelimit.Answer, answered, proved bool) {
+	q := ratelimit.TokenRequest{Limit: limit, Tokens: s.Want(t.m.clock()), Role: ratelimit.RoleHome}
+	t.ask(process, processAt(first), q, func(answer ratelimit.TokenReply, answered, proved bool) {
 		if answered {
 			done(s.Answered(t.m.clock(), answer) == ratelimit.StepAllow)
 			return
@@ -140,7 +140,7 @@
 		if proved || t.without == withoutStandIn {
 			q.Role = ratelimit.RoleSuccessor
 		}
-		t.ask(process, processAt(second), q, func(answer ratelimit.Answer, answered, _ bool) {
+		t.ask(process, processAt(second), q, func(answer ratelimit.TokenReply, answered, _ bool) {
 			if answered {
 				done(s.Answered(t.m.clock(), answer) == ratelimit.StepAllow)
 				return
@@ -151,21 +151,21 @@
 }
 
 // ask requests tokens from one process, as Limiter.askOne does.
-func (t *tokens) ask(from, to int, q ratelimit.Question, done func(answer ratelimit.Answer, answered, proved bool)) {
+func (t *tokens) ask(from, to int, q ratelimit.TokenRequest, done func(answer ratelimit.TokenReply, answered, proved bool)) {
 	m, p := t.m, t.processes[from]
 	switch {
 	case to < 0:
-		done(ratelimit.Answer{}, false, false)
+		done(ratelimit.TokenReply{}, false, false)
 		return
 	case to == from:
 		done(t.grant(to, q), true, false)
 		return
 	case m.now < p.silent[to]:
-		done(ratelimit.Answer{}, false, p.proved[to])
+		done(ratelimit.TokenReply{}, false, p.proved[to])
 		return
 	}
 	over := false
-	end := func(answer ratelimit.Answer, answered, proved bool) {
+	end := func(answer ratelimit.TokenReply, answered, proved bool) {
 		if over || m.dead[from] || t.processes[from] != p {
 			return
 		}
@@ -181,27 +181,27 @@
 	}
 	if m.dead[to] && m.present[to] && m.cut[from] == m.cut[to] {
 		// The VM refuses the connection.
-		m.after(2*hop, func() { m.at(from, func() { end(ratelimit.Answer{}, false, true) }) })
+		m.after(2*hop, func() { m.at(from, func() { end(ratelimit.TokenReply{}, false, true) }) })
 		return
 	}
 	m.send(from, to, func() {
 		answer := t.grant(to, q)
 		m.send(to, from, func() { end(answer, true, false) })
 	})
-	m.after(askTimeout, func() { m.at(from, func() { end(ratelimit.Answer{}, false, false) }) })
+	m.after(askTimeout, func() { m.at(from, func() { end(ratelimit.TokenReply{}, false, false) }) })
 }
 
 // grant replies as Limiter.Grant does.
-func (t *tokens) grant(process int, q ratelimit.Question) ratelimit.Answer {
+func (t *tokens) grant(process int, q ratelimit.TokenRequest) ratelimit.TokenReply {
 	p := t.processes[process]
 	if t.without == withoutPause && q.Role == ratelimit.RoleSuccessor {
 		q.Role = ratelimit.RoleHome
-		return p.ledger.Take(t.m.clock(), q)
+		return p.allocator.Take(t.m.clock(), q)
 	}
 	if q.Role == ratelimit.RoleHome && p.role(hostOf(process), q.Limit.Workspace) != ratelimit.RoleHome {
 		q.Role = ratelimit.RoleStandIn
 	}
-	return p.ledger.Take(t.m.clock(), q)
+	return p.allocator.Take(t.m.clock(), q)
 }
 
 // counts is a strategy that allows requests and counts them at the home afterwards, which notifies
--- a/ratelimit/suspended_test.go
+++ b/ratelimit/suspended_test.go
@@ -15,9 +15,9 @@
 type grantingPeers struct{ asked int }
 
 // Take implements Peers.
-func (p *grantingPeers) Take(context.Context, string, Question) (Answer, error) {
+func (p *grantingPeers) Take(context.Context, string, TokenRequest) (TokenReply, error) {
 	p.asked++
-	return Answer{Tokens: 5, Level: 100, Role: RoleHome}, nil
+	return TokenReply{Tokens: 5, Level: 100, Role: RoleHome}, nil
 }
 
 // NotRunning implements Peers.
--- a/ratelimit/unit_test.go
+++ b/ratelimit/unit_test.go
@@ -57,8 +57,8 @@
 // TestRetryTimes checks that refused callers are given consecutive retry times at the rate of the limit,
 // none beyond maxTurn.
 func TestRetryTimes(t *testing.T) {
-	l := ratelimit.NewLedger(epoch)
-	q := ratelimit.Question{Limit: limit(10, 1, 1), Tokens: 1, Role: ratelimit.RoleHome}
+	l := ratelimit.NewAllocator(epoch)
+	q := ratelimit.TokenRequest{Limit: limit(10, 1, 1), Tokens: 1, Role: ratelimit.RoleHome}
 	assert.Equal(t, l.Take(epoch, q).Tokens, 1)
 	for i := 1; i <= 40; i++ {
 		a := l.Take(epoch, q)
@@ -71,9 +71,9 @@
 // TestLowerLimitBinds checks that the first token request with newer settings lowers the limit, and
 // that one with older settings does not raise it again.
 func TestLowerLimitBinds(t *testing.T) {
-	l := ratelimit.NewLedger(epoch)
+	l := ratelimit.NewAllocator(epoch)
 	take := func(at time.Duration, of slatewind.WorkspaceLimit) (given int) {
-		q := ratelimit.Question{Limit: of, Tokens: 1, Role: ratelimit.RoleHome}
+		q := ratelimit.TokenRequest{Limit: of, Tokens: 1, Role: ratelimit.RoleHome}
 		for l.Take(epoch.Add(at), q).Tokens > 0 {
 			given++
 		}
@@ -87,29 +87,29 @@
 // TestConsumer checks that prefetched tokens are spent until they expire, and that a refusal is
 // repeated locally for a short time instead of asking again.
 func TestConsumer(t *testing.T) {
-	s := &ratelimit.Spender{}
+	s := &ratelimit.Consumer{}
 	of := limit(100, 100, 1)
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 	assert.Equal(t, s.Begin(at(0), of), ratelimit.StepAsk)
-	assert.Equal(t, s.Answered(at(1), ratelimit.Answer{Tokens: 3}), ratelimit.StepAllow)
+	assert.Equal(t, s.Answered(at(1), ratelimit.TokenReply{Tokens: 3}), ratelimit.StepAllow)
 	assert.Equal(t, s.Begin(at(2), of), ratelimit.StepAllow)
 	assert.Equal(t, s.Begin(at(400), of), ratelimit.StepAsk, "the last one is stale")
-	assert.Equal(t, s.Answered(at(401), ratelimit.Answer{Next: time.Second, Turn: 2 * time.Second}), ratelimit.StepRefuse)
+	assert.Equal(t, s.Answered(at(401), ratelimit.TokenReply{Next: time.Second, Turn: 2 * time.Second}), ratelimit.StepRefuse)
 	assert.Equal(t, s.RetryAfter(at(401)), 2*time.Second)
 	assert.Equal(t, s.Begin(at(402), of), ratelimit.StepRefuse)
 	assert.Equal(t, s.Begin(at(452), of), ratelimit.StepAsk)
-	assert.Equal(t, s.Answered(at(453), ratelimit.Answer{Tokens: 9}), ratelimit.StepAllow)
+	assert.Equal(t, s.Answered(at(453), ratelimit.TokenReply{Tokens: 9}), ratelimit.StepAllow)
 	assert.Equal(t, s.Begin(at(454), limit(5, 5, 2)), ratelimit.StepAsk, "held tokens were those of the older limit")
 }
 
 // TestIsolatedConsumer checks that a process that reaches no other spends at half its previous
 // rate.
 func TestIsolatedConsumer(t *testing.T) {
-	s := &ratelimit.Spender{}
+	s := &ratelimit.Consumer{}
 	now := epoch
 	for range 400 {
 		now = now.Add(50 * time.Millisecond)
-		s.Answered(now, ratelimit.Answer{Tokens: 1})
+		s.Answered(now, ratelimit.TokenReply{Tokens: 1})
 	}
 	allowed := 0
 	for range 100 {
@@ -176,15 +176,15 @@
 )
 
 // Take implements ratelimit.Peers.
-func (p *peers) Take(_ context.Context, host string, q ratelimit.Question) (ratelimit.Answer, error) {
+func (p *peers) Take(_ context.Context, host string, q ratelimit.TokenRequest) (ratelimit.TokenReply, error) {
 	p.mu.Lock()
 	p.asked++
 	err := p.failures[host]
 	p.mu.Unlock()
 	if err != nil {
-		return ratelimit.Answer{}, err
+		return ratelimit.TokenReply{}, err
 	}
-	return p.all[host].Give(time.Now(), q), nil
+	return p.all[host].Grant(time.Now(), q), nil
 }
 
 // NotRunning implements ratelimit.Peers.
@@ -259,7 +259,7 @@
 			l.Put(time.Now(), "s", hostOf(0))
 			given := 0
 			for range 50 {
-				given += l.Give(time.Now(), ratelimit.Question{Limit: limit(0.001, 100, 1), Tokens: 1, Role: ratelimit.RoleHome}).Tokens
+				given += l.Grant(time.Now(), ratelimit.TokenRequest{Limit: limit(0.001, 100, 1), Tokens: 1, Role: ratelimit.RoleHome}).Tokens
 			}
 			assert.Equal(t, given, test.given)
 		})
