--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -95,8 +95,8 @@
 		part:    soak.PartSilentStore,
 		edits: []overlay.Edit{{
 			File: "platform/platform.go",
-			From: "silence := time.AfterFunc(wait+callTimeout, cancel)",
-			To:   "silence := time.AfterFunc(wait+time.Minute, cancel)",
+			From: "idle := time.AfterFunc(wait+callTimeout, cancel)",
+			To:   "idle := time.AfterFunc(wait+time.Minute, cancel)",
 		}},
 	},
 	"a silent process is waited for": {
