--- a/config/check.go
+++ b/config/check.go
@@ -16,50 +16,50 @@
 	"slatewind.example/slatewind/workspace"
 )
 
-// Check documents one check of settings files, for slatewind check --explain.
+// Check describes one check of settings files. slatewind check --explain prints it.
 type Check struct {
 	ID    string
 	Title string
-	// Reason says what would go wrong without the check.
+	// Reason is what would go wrong without the check.
 	Reason string
-	// Since is the first version that has the check.
+	// Since is the first version of the program with the check.
 	Since string
 }
 
-// Checks lists every check, in the order of their ids.
+// Checks lists all checks in the order of their IDs.
 var Checks = []Check{
-	{"SW1001", "The file is one YAML document of at most a megabyte", "A second document would be ignored in silence, and the platform holds no larger value.", "0.1"},
-	{"SW1002", "Every field is known and has a value of its type", "A misspelt field or a number without its unit would leave a default in force that nobody chose.", "0.1"},
-	{"SW1003", "No field stands twice in one place", "Only the last would count, and the reader of the file may have seen the first.", "0.1"},
-	{"SW1004", "Names are stated and unique", "Decisions, metrics and records refer to services, servers and routes by name.", "0.1"},
-	{"SW1005", "A route names a service of the file", "Its requests could go nowhere.", "0.1"},
-	{"SW1006", "A floor is at most the number of servers", "No set of servers could satisfy it, so nothing could ever be ejected.", "0.1"},
-	{"SW1007", "Addresses are IP:port", "Processes reach each other by IP number; names would need a resolver that nobody runs.", "0.1"},
-	{"SW1008", "Kinds and priorities are known words", "A request whose kind is unclear might be run twice.", "0.1"},
-	{"SW1009", "Times are positive and caution lies from 4 to 40 nats", "A timeout of zero refuses everything; a caution outside these bounds ejects at random or never.", "0.1"},
-	{"SW1010", "Servers have slots, a VM and an address of their own", "The sidecar counts slots exactly; two servers at one address would be counted apart.", "0.1"},
-	{"SW1011", "No two routes match the same requests", "Which of them counted would depend on the order of the file.", "0.1"},
-	{"SW1012", "Path prefixes begin with a slash", "Request paths do, so nothing would ever match.", "0.1"},
-	{"SW1013", "A route's largest body fits into a message between processes", "A larger one would be accepted from the caller and could not be passed on.", "0.1"},
-	{"SW1014", "Extra attempts are bounded by a ratio from 0 to 1 and a slack from 0", "A ratio above 1 would let retries more than double the load of sick servers.", "0.2"},
-	{"SW1015", "A log level is debug, info, warn or error", "Another word would leave a level in force that nobody chose.", "0.3"},
-	{"SW1016", "Keys of workspaces are given by digests, each of one workspace", "A key in plain text would be read by everyone who reads the file; one of two workspaces would leave open whose requests they are.", "0.4"},
-	{"SW1017", "Rates and bursts are not below 0", "Such a limit would refuse everything.", "0.4"},
-	{"SW1018", "A processor share is not below 0", "It would have a process collect garbage as if it never had time for it.", "0.4"},
+	{"SW1001", "The file is one YAML document of at most a megabyte", "A second document would be silently ignored, and the platform stores no larger value.", "0.1"},
+	{"SW1002", "Every field is known and has a value of its type", "A misspelt field or a number without its unit would silently leave the default in force.", "0.1"},
+	{"SW1003", "No mapping has the same field twice", "Only the last value would take effect, while a reader of the file may have seen the first.", "0.1"},
+	{"SW1004", "Names are present and unique", "Decisions, metrics and records refer to services, servers and routes by name.", "0.1"},
+	{"SW1005", "A route names a service of the file", "Its requests could not be routed to any server.", "0.1"},
+	{"SW1006", "A floor is at most the number of servers", "No set of servers could satisfy it, so no server could ever be ejected.", "0.1"},
+	{"SW1007", "Addresses are IP:port", "Processes connect to each other by IP address; host names would need a DNS resolver, which is not assumed to exist.", "0.1"},
+	{"SW1008", "Kinds and priorities have a known value", "A request of an unknown kind might be executed twice.", "0.1"},
+	{"SW1009", "Times are positive and caution lies from 4 to 40 nats", "A timeout of zero refuses every request; with a caution outside these bounds, servers are ejected at random or never.", "0.1"},
+	{"SW1010", "Servers have slots, a VM and an address of their own", "The sidecar enforces the number of slots exactly; the slots of two servers at one address would be counted separately.", "0.1"},
+	{"SW1011", "No two routes match the same requests", "Which of them is used would depend on the order in the file.", "0.1"},
+	{"SW1012", "Path prefixes begin with a slash", "Request paths begin with a slash, so the route would never match.", "0.1"},
+	{"SW1013", "A route's largest body fits into a message between processes", "A larger body would be accepted from the caller but could not be forwarded.", "0.1"},
+	{"SW1014", "Extra attempts are bounded by a ratio from 0 to 1 and a slack from 0", "A ratio above 1 would let retries more than double the load of unhealthy servers.", "0.2"},
+	{"SW1015", "A log level is debug, info, warn or error", "Any other value would silently leave the default level in force.", "0.3"},
+	{"SW1016", "Keys of workspaces are given by digests, each of one workspace", "A key in plain text could be read by everyone who can read the file; requests with a key of two workspaces could not be attributed to one of them.", "0.4"},
+	{"SW1017", "Rates and bursts are not below 0", "A negative limit would refuse every request.", "0.4"},
+	{"SW1018", "A processor share is not below 0", "A process would set its garbage collection as if it had no processor time for it.", "0.4"},
 }
 
-// MaxBodyBytes is the largest request body that fits into a message between
-// processes, with room for its header fields.
+// MaxBodyBytes is the largest request body. It fits into one message between processes
+// together with the header fields.
 const MaxBodyBytes = 7 << 20
 
-// Bounds of caution in nats. Below the first a healthy server is ejected about
-// every fifty requests, above the second in no lifetime.
+// Bounds of caution in nats. Below minCaution a healthy server would be ejected about every
+// 50 requests, above maxCaution no server would be ejected in any realistic time.
 const (
 	minCaution = 4
 	maxCaution = 40
 )
 
-// checker collects the findings of one file.
+// checker collects the findings in one file.
 type checker struct {
 	file     string
 	document *yaml.Node
@@ -67,7 +67,7 @@
 }
 
 func (c *checker) add(check, message string, path ...any) {
-	n := place(c.document, path...)
+	n := nodeAt(c.document, path...)
 	c.findings = append(c.findings, Finding{c.file, n.Line, n.Column, check, message})
 }
 
@@ -97,7 +97,7 @@
 	return services
 }
 
-// checkName reports a missing or repeated name and notes it as used.
+// checkName reports a missing or repeated name and adds it to used.
 func (c *checker) checkName(what, name string, used map[string]bool, path ...any) {
 	path = append(path, "name")
 	switch {
@@ -153,7 +153,7 @@
 		if !services[route.GetService()] {
 			c.add("SW1005", fmt.Sprintf("route %q names no service of this file: %q", route.GetName(), route.GetService()), "routes", i, "service")
 		}
-		c.checkRouteWords(i, route)
+		c.checkRouteValues(i, route)
 		c.checkDuration(route.GetTimeout(), "routes", i, "timeout")
 		if route.GetMaxBodyBytes() > MaxBodyBytes {
 			c.add("SW1013", fmt.Sprintf("max_body_bytes %d is above %d", route.GetMaxBodyBytes(), MaxBodyBytes), "routes", i, "max_body_bytes")
@@ -162,8 +162,8 @@
 	}
 }
 
-// checkWorkspaces checks who may send requests. No finding repeats what stands where a digest
-// should: it may be a key.
+// checkWorkspaces checks the workspaces. Findings do not quote an invalid digest, since it may be
+// a key in plain text.
 func (c *checker) checkWorkspaces(fleet *slatewindv1.Fleet) {
 	names := map[string]bool{}
 	owners := map[workspace.Digest]string{}
@@ -181,7 +181,7 @@
 	}
 }
 
-// checkDigest checks one digest of a workspace's key and notes whose it is.
+// checkDigest checks the digest of one key and adds its workspace to owners.
 func (c *checker) checkDigest(name, text string, owners map[workspace.Digest]string, path ...any) {
 	digest, err := workspace.ParseDigest(text)
 	if err != nil {
@@ -194,7 +194,8 @@
 	owners[digest] = name
 }
 
-func (c *checker) checkRouteWords(i int, route *slatewindv1.Route) {
+// checkRouteValues checks the kind, priority and path prefix of a route.
+func (c *checker) checkRouteValues(i int, route *slatewindv1.Route) {
 	switch slatewind.Kind(route.GetKind()) {
 	case slatewind.KindRepeatable, slatewind.KindOnce:
 	default:
@@ -237,7 +238,7 @@
 	}
 }
 
-// logLevels are the levels that settings may name.
+// logLevels are the valid values of log_level.
 var logLevels = []slatewind.LogLevel{slatewind.LogDebug, slatewind.LogInfo, slatewind.LogWarn, slatewind.LogError}
 
 func checkProcess(file string, document *yaml.Node, process *slatewindv1.Process) Findings {
@@ -271,7 +272,7 @@
 	return c.findings
 }
 
-// checkNode checks what a process needs whose servers the platform's store lists.
+// checkNode checks the settings of a process that reads the servers from the platform's store.
 func (c *checker) checkNode(process *slatewindv1.Process) {
 	c.checkAddress(process.GetStore().GetAddress(), "store", "address")
 	c.checkAddress(process.GetReadyAddress(), "ready_address")
@@ -294,8 +295,7 @@
 	}
 }
 
-// Defaults of the operators' file. The caution defaults come from the curve in
-// docs/POLICY.md.
+// Defaults of the operators' file. defaultCaution is derived from the curve in docs/POLICY.md.
 const (
 	defaultCaution       = 16
 	defaultKeyLifetime   = 10 * time.Minute
@@ -342,7 +342,7 @@
 	}
 }
 
-// Defaults of the process settings; each bounds memory.
+// Defaults of the process settings; each bounds the memory of a process.
 const (
 	defaultOnceRecords     = 20000
 	defaultOnceAnswerBytes = 8 << 20
--- a/config/chunk.go
+++ b/config/chunk.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings travel between processes in chunks, so that a change of one service
-// moves the bytes of that service and not of the whole file. A chunk begins at
-// each line that starts an item of a list ("  - " or "- "), with any indent up
-// to itemIndent, and holds at least minChunk bytes.
+// Settings are transferred between processes in chunks, so that a change to one service
+// transfers only the bytes of that service. A chunk boundary is a line that starts a list
+// item ("- " with an indent of at most itemIndent spaces) at least minChunk bytes after the
+// previous boundary.
 const (
 	itemIndent = 4
 	minChunk   = 512
 )
 
-// Split cuts a file into chunks; joined, they are the file.
+// Split splits a file into chunks. Their concatenation is the file.
 func Split(text []byte) [][]byte {
 	var chunks [][]byte
 	start := 0
@@ -47,7 +47,7 @@
 	return digests
 }
 
-// Missing returns the chunks whose digests are not in have, in order.
+// Missing returns the chunks whose digests are not in have, in their order.
 func Missing(chunks [][]byte, have []uint64) [][]byte {
 	known := make(map[uint64]bool, len(have))
 	for _, digest := range have {
@@ -62,11 +62,11 @@
 	return missing
 }
 
-// Join puts a file together from the digests of its chunks, the chunks of an
-// older file and those that came. It reports false if one is missing.
-func Join(digests []uint64, older, came [][]byte) ([]byte, bool) {
-	known := make(map[uint64][]byte, len(older)+len(came))
-	for _, chunk := range append(older, came...) {
+// Join assembles a file from the digests of its chunks, the chunks of an older file and the
+// received chunks. It reports false if a chunk is missing.
+func Join(digests []uint64, older, received [][]byte) ([]byte, bool) {
+	known := make(map[uint64][]byte, len(older)+len(received))
+	for _, chunk := range append(older, received...) {
 		known[xxhash.Sum64(chunk)] = chunk
 	}
 	var text []byte
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -21,7 +21,7 @@
 	_ "slatewind.example/slatewind/internal/seeded"
 )
 
-// want is a finding as a comment of a test file states it.
+// want is a finding that a comment in a test file expects.
 type want struct {
 	line, column   int
 	check, message string
@@ -40,8 +40,8 @@
 	return wants
 }
 
-// TestFindings checks each file of testdata and compares with the findings that
-// its comments state: all of them, at their places, and no others.
+// TestFindings checks that each file in testdata has exactly the findings that its comments
+// expect, at their positions.
 func TestFindings(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(t, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-// FuzzParseFleet: no input brings a panic, and what is accepted has services.
+// FuzzParseFleet checks that no input causes a panic and that accepted files have services.
 func FuzzParseFleet(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	for _, file := range files {
@@ -126,9 +126,9 @@
 	return []byte(strings.Replace(string(text), "floor: 1", fmt.Sprint("floor: ", floor), 1))
 }
 
-// TestStoreNeverGoesBack offers random files in random order: what is in force
-// only ever gets newer, a file with findings changes nothing, and two stores
-// that saw the same offers end with the same file.
+// TestStoreNeverGoesBack offers random files in random order. The version in force only gets
+// newer, a file with findings changes nothing, and two stores that are offered the same files
+// end with the same one.
 func TestStoreNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := config.NewStore(history.New(0, nil)), config.NewStore(history.New(0, nil))
@@ -139,7 +139,7 @@
 		offers := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) offer {
 			return offer{uint64(rapid.IntRange(1, 6).Draw(t, "revision")), rapid.IntRange(0, 3).Draw(t, "floor")}
 		}), 1, 12).Draw(t, "offers")
-		give := func(s *config.Store, o offer) {
+		submit := func(s *config.Store, o offer) {
 			before := s.Current()
 			changed, err := s.Offer(time.Unix(0, 0), "test", slatewind.Revision{Number: o.revision}, fileWithFloor(o.floor))
 			assert.Assert(t, err == nil || o.floor > 1)
@@ -150,17 +150,19 @@
 			}
 		}
 		for _, o := range offers {
-			give(one, o)
+			submit(one, o)
 		}
 		for _, o := range rapid.Permutation(offers).Draw(t, "other order") {
-			give(two, o)
+			submit(two, o)
 		}
 		assert.Equal(t, one.Version(), two.Version())
 	})
 }
 
-// TestFileOfCopy: a file that was in force before does not come back with a copy of the platform's store, and a new one comes into force at a number that was given out before.
-func TestFileOfCopy(t *testing.T) {
+// TestFileOfRestoredStore checks that a file that was in force before does not return when the
+// platform's store is restored from a backup, and that a new file takes effect though its
+// revision number was used before the restore.
+func TestFileOfRestoredStore(t *testing.T) {
 	s := config.NewStore(history.New(0, nil))
 	offer := func(era, number uint64, floor int) bool {
 		changed, err := s.Offer(time.Unix(0, 0), "test", slatewind.Revision{Era: era, Number: number}, fileWithFloor(floor))
@@ -169,8 +171,8 @@
 	}
 	assert.Assert(t, offer(0, 10, 0))
 	assert.Assert(t, offer(0, 12, 1))
-	assert.Assert(t, !offer(1, 10, 0), "the copy's file")
-	assert.Assert(t, offer(1, 12, 0), "another file at a number that was given out before")
+	assert.Assert(t, !offer(1, 10, 0), "the file in the backup")
+	assert.Assert(t, offer(1, 12, 0), "another file at a revision number used before the restore")
 	assert.Assert(t, !offer(0, 13, 1), "a file of an earlier era")
 }
 
@@ -203,8 +205,8 @@
 	}
 }
 
-// TestChunks: any file comes back whole from its chunks, and a change of one
-// service moves little of it.
+// TestChunks checks that a file equals the concatenation of its chunks and that a change to one
+// service transfers only one chunk.
 func TestChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(rapid.StringMatching(`((  - |    |)[a-z]{0,90}\n){0,9}[a-z]{0,10}`).Draw(t, "text"))
--- a/config/finding.go
+++ b/config/finding.go
@@ -10,25 +10,25 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("settings")
 
-// Finding is one fault of a settings file, with its place.
+// Finding is one error in a settings file, with its position.
 type Finding struct {
 	File   string
 	Line   int
 	Column int
-	// Check names the check that found it, for example SW1003.
+	// Check is the ID of the check that reported it, for example SW1003.
 	Check   string
 	Message string
 }
 
-// String renders a finding as file:line:column: message (check).
+// String formats a finding as file:line:column: message (check).
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s (%s)", f.File, f.Line, f.Column, f.Message, f.Check)
 }
 
-// Findings are all faults of one file, in the order of their places.
+// Findings are all errors in one file, ordered by position.
 type Findings []Finding
 
-// Error renders one finding a line.
+// Error returns one finding per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
--- a/config/node_test.go
+++ b/config/node_test.go
@@ -12,22 +12,22 @@
 	"slatewind.example/slatewind/config"
 )
 
-// TestNodeSettings changes one line of a node's settings and states the finding.
+// TestNodeSettings changes one line of a node's settings and checks the finding.
 func TestNodeSettings(t *testing.T) {
 	good, err := os.ReadFile("testdata/process/node.yaml")
 	assert.NilError(t, err)
 	tests := map[string]struct{ from, to, finding string }{
-		"as the template gives them": {},
+		"unchanged":                  {},
 		"a store without a port":     {`"10.200.1.7:8142"`, `"10.200.1.7"`, `:12:12: address "10.200.1.7" is not IP:port (SW1007)`},
 		"no ready address":           {`ready_address: "10.1.0.38:8141"`, "", `is not IP:port (SW1007)`},
 		"a server without a service": {`service: "vitrine"`, `service: ""`, `the local server names no service (SW1004)`},
 		"a ratio above one":          {"retry_ratio: 0.2", "retry_ratio: 2", `retry_ratio 2 is outside 0 to 1 (SW1014)`},
-		"no time to stop":            {"grace: 6s", "grace: 0s", "time 0s is not positive (SW1009)"},
+		"zero grace":                 {"grace: 6s", "grace: 0s", "time 0s is not positive (SW1009)"},
 		"a slack with a fraction":    {"retry_slack: 56", "retry_slack: 56.25", ""},
 		"reads with a fraction":      {"reads_per_second: 2000", "reads_per_second: 133.3", ""},
-		"a slack below zero":         {"retry_slack: 56", "retry_slack: -1", "retry_slack -1 is below 0 (SW1014)"},
-		"a level of logs":            {"seed_peers: []", "log_level: warn", ""},
-		"no level of logs":           {"seed_peers: []", "log_level: loud", `:25:12: log level "loud" is not debug, info, warn or error (SW1015)`},
+		"negative slack":             {"retry_slack: 56", "retry_slack: -1", "retry_slack -1 is below 0 (SW1014)"},
+		"log level":                  {"seed_peers: []", "log_level: warn", ""},
+		"unknown log level":          {"seed_peers: []", "log_level: loud", `:25:12: log level "loud" is not debug, info, warn or error (SW1015)`},
 		"a misspelt field":           {"retry_slack", "retry_slak", "(SW1002)"},
 	}
 	for name, test := range tests {
--- a/config/parse.go
+++ b/config/parse.go
@@ -1,11 +1,10 @@
-// Package config decodes, checks and orders settings.
+// Package config decodes, validates and orders settings.
 //
-// A settings file counts as a whole: it is decoded into the types generated
-// from api/, every check runs, and all findings are reported together with
-// their places. Any finding refuses the file, and what was in force stays in
-// force. Accepted files are ordered by the platform's revision and then by
-// digest, so that every process that saw the same files ends with the same
-// one, and none goes back to an older one.
+// A settings file is accepted or rejected as a whole. It is decoded into the types generated
+// from api/, all checks run, and all findings are reported together with their positions. A
+// file with a finding is rejected, and the settings in force stay in force. Accepted files are
+// ordered by the platform's revision and then by digest, so that all processes that received
+// the same files end up with the same one, and none returns to an older one.
 package config
 
 import (
@@ -27,22 +26,22 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// MaxFileBytes is the largest value that the platform holds.
+// MaxFileBytes is the largest settings file, the largest value that the platform stores.
 const MaxFileBytes = 1 << 20
 
-// decodeError matches one error of the YAML decoder: file:line:column message.
+// decodeError matches one error of the YAML decoder, of the form file:line:column message.
 var decodeError = regexp.MustCompile(`(?m)^(?:.*):(\d+):(\d+) (.*)$`)
 
-// syntaxError matches an error of the YAML parser, which gives only the line.
+// syntaxError matches an error of the YAML parser, which states only the line.
 var syntaxError = regexp.MustCompile(`line (\d+): (.*)`)
 
-// ParseFleet decodes and checks the operators' file. The error, if any, is of
-// type Findings.
+// ParseFleet decodes and checks the text of the operators' file; file is its name in the
+// findings. The error, if any, is of type Findings.
 func ParseFleet(file string, text []byte) (*slatewindv1.Fleet, error) {
 	fleet := &slatewindv1.Fleet{}
 	document, findings := decode(file, text, fleet)
 	if document != nil {
-		findings = append(findings, elsewhere(checkFleet(file, document, fleet), findings)...)
+		findings = append(findings, withoutUndecoded(checkFleet(file, document, fleet), findings)...)
 	}
 	if err := asError(findings); err != nil {
 		return nil, err
@@ -60,13 +59,13 @@
 	return ParseProcess(file, text)
 }
 
-// ParseProcess decodes and checks the text of a process's settings; file names it in
-// the findings.
+// ParseProcess decodes and checks the text of a process's settings; file is its name in the
+// findings. The error, if any, is of type Findings.
 func ParseProcess(file string, text []byte) (*slatewindv1.Process, error) {
 	process := &slatewindv1.Process{}
 	document, findings := decode(file, text, process)
 	if document != nil {
-		findings = append(findings, elsewhere(checkProcess(file, document, process), findings)...)
+		findings = append(findings, withoutUndecoded(checkProcess(file, document, process), findings)...)
 	}
 	if err := asError(findings); err != nil {
 		return nil, err
@@ -75,9 +74,9 @@
 	return process, nil
 }
 
-// elsewhere leaves out findings at places where decoding failed: what stands
-// there was not read, so further checks of it would only mislead.
-func elsewhere(findings, decoding Findings) Findings {
+// withoutUndecoded removes the findings at positions where decoding failed. The values there
+// were not decoded, so findings of further checks would be misleading.
+func withoutUndecoded(findings, decoding Findings) Findings {
 	var kept Findings
 	for _, f := range findings {
 		if !slices.ContainsFunc(decoding, func(d Finding) bool { return d.Line == f.Line && d.Column == f.Column }) {
@@ -87,7 +86,7 @@
 	return kept
 }
 
-// asError sorts findings by place and returns nil where there are none.
+// asError sorts findings by position. It returns nil if there are none.
 func asError(findings Findings) error {
 	if len(findings) == 0 {
 		return nil
@@ -101,8 +100,8 @@
 	return findings
 }
 
-// decode fills message from text. It returns the YAML document for further
-// checks, or nil where the text has none.
+// decode decodes text into message. It returns the YAML document for further checks, or nil if
+// text is too large or not one YAML document.
 func decode(file string, text []byte, message proto.Message) (*yaml.Node, Findings) {
 	if len(text) > MaxFileBytes {
 		return nil, Findings{{file, 1, 1, "SW1001", fmt.Sprintf("file has %d bytes, the platform holds at most %d", len(text), MaxFileBytes)}}
@@ -160,8 +159,8 @@
 	return Finding{file, line, 1, "SW1001", message}
 }
 
-// duplicateKeys reports fields that stand twice in one mapping; the decoder
-// would silently keep the last.
+// duplicateKeys reports fields that occur twice in one mapping. The decoder would silently
+// keep the last.
 func duplicateKeys(file string, n *yaml.Node) Findings {
 	var findings Findings
 	if n.Kind == yaml.MappingNode {
@@ -181,9 +180,9 @@
 	return findings
 }
 
-// place finds the node at a path such as services[2].floor. Where the file
-// does not state the last part, the node that should hold it is returned.
-func place(document *yaml.Node, path ...any) *yaml.Node {
+// nodeAt returns the node at a path such as services[2].floor. If the path does not exist in
+// the file, it returns the last node on the path that does.
+func nodeAt(document *yaml.Node, path ...any) *yaml.Node {
 	n := document
 	if n.Kind == yaml.DocumentNode {
 		n = n.Content[0]
@@ -198,6 +197,7 @@
 	return n
 }
 
+// child returns the value at an index or a field name, or nil if there is none.
 func child(n *yaml.Node, step any) *yaml.Node {
 	switch s := step.(type) {
 	case int:
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -12,19 +12,20 @@
 	"slatewind.example/slatewind/workspace"
 )
 
-// Version orders settings files: by the platform's revision, then by digest.
+// Version identifies a settings file. Versions are ordered by the platform's revision, then by
+// digest.
 type Version struct {
 	Era      uint64 `json:"era,omitempty"`
 	Revision uint64 `json:"revision"`
 	Digest   uint64 `json:"digest"`
 }
 
-// Written returns the platform's revision at which the file was written.
+// Written returns the revision of the platform's store at which the file was written.
 func (v Version) Written() slatewind.Revision {
 	return slatewind.Revision{Era: v.Era, Number: v.Revision}
 }
 
-// Newer reports whether v comes after o.
+// Newer reports whether v is newer than o.
 func (v Version) Newer(o Version) bool {
 	if v.Written() != o.Written() {
 		return v.Written().After(o.Written())
@@ -32,48 +33,49 @@
 	return v.Digest > o.Digest
 }
 
-// ToAPI returns the message form of a version.
+// ToAPI converts a version to its protobuf message.
 func (v Version) ToAPI() *slatewindv1.Version {
 	return &slatewindv1.Version{Era: v.Era, Revision: v.Revision, Digest: v.Digest}
 }
 
-// VersionFromAPI returns the struct form of a version message.
+// VersionFromAPI converts a protobuf message to a version.
 func VersionFromAPI(v *slatewindv1.Version) Version {
 	return Version{Era: v.GetEra(), Revision: v.GetRevision(), Digest: v.GetDigest()}
 }
 
-// Snapshot is one accepted file, ready for use. It never changes; a request
-// keeps the snapshot that it began with.
+// Snapshot is an accepted settings file with its indexes. It is immutable; a request uses the
+// snapshot in force at its start until its end.
 type Snapshot struct {
 	Version Version
-	// Since is when this process put the file in force.
+	// Since is the time at which this process put the file in force.
 	Since time.Time
+	// Text is the YAML text, nil for settings that the platform publishes in its own format.
 	Text  []byte
 	Fleet *slatewindv1.Fleet
-	// Services finds services by name.
+	// Services holds the services by name.
 	Services map[string]*slatewindv1.Service
-	// Owners holds, by service, the digest of the names of its servers. Once
-	// requests carry it, since a key's home depends on these names.
+	// Owners holds, by service name, a digest of the names of its servers. Requests on once
+	// routes carry it, since the home of an idempotency key depends on these names.
 	Owners map[string]uint64
 	Routes *RouteTable
-	// Workspaces tells whose key a request has.
+	// Workspaces finds the workspace of the key in a request.
 	Workspaces *workspace.Directory
-	// ranks is how many ranks routes have.
+	// ranks is the highest rank of a route plus 1.
 	ranks uint32
 }
 
-// Rank returns the rank of a request in the queue for slots: that of its workspace goes before
-// that of its route.
+// Rank returns the rank of a request in the queue for slots. Requests are ordered by the rank of
+// their workspace first and by that of their route second.
 func (s *Snapshot) Rank(w *slatewindv1.Workspace, route *slatewindv1.Route) uint32 {
 	return w.GetRank()*s.ranks + route.GetRank()
 }
 
-// LimitOf returns the limit of a workspace, which may be nil.
+// LimitOf returns the rate limit of a workspace. w may be nil.
 func (s *Snapshot) LimitOf(w *slatewindv1.Workspace) slatewind.WorkspaceLimit {
 	return slatewind.WorkspaceLimit{Workspace: w.GetName(), Rate: w.GetRate(), Burst: w.GetBurst(), Version: s.Version.Revision}
 }
 
-// NewSnapshot builds a snapshot of a checked file.
+// NewSnapshot returns a snapshot of a checked file.
 func NewSnapshot(version Version, since time.Time, text []byte, fleet *slatewindv1.Fleet) *Snapshot {
 	s := &Snapshot{
 		Version:  version,
@@ -96,6 +98,7 @@
 	return s
 }
 
+// ownersDigest returns a digest of the names of a service's servers, whatever their order.
 func ownersDigest(service *slatewindv1.Service) uint64 {
 	names := make([]string, 0, len(service.GetServers()))
 	for _, server := range service.GetServers() {
@@ -105,14 +108,14 @@
 	return xxhash.Sum64String(strings.Join(names, "\n"))
 }
 
-// RouteTable finds the route of a request by host, longest path prefix on
-// whole segments, and method. A lookup costs one map access for each segment
-// of the path, whatever the number of routes.
+// RouteTable finds the route of a request by host, longest path prefix of whole segments, and
+// method. A lookup costs at most two map accesses per segment of the path, independent of the
+// number of routes.
 type RouteTable struct {
 	hosts map[string]map[string][]*slatewindv1.Route
 }
 
-// NewRouteTable indexes routes by host and prefix.
+// NewRouteTable returns a table of routes, indexed by host and path prefix.
 func NewRouteTable(routes []*slatewindv1.Route) *RouteTable {
 	t := &RouteTable{hosts: map[string]map[string][]*slatewindv1.Route{}}
 	for _, route := range routes {
@@ -127,8 +130,8 @@
 	return t
 }
 
-// Find returns the route of a request, or nil. Routes for the request's host
-// go before routes for every host.
+// Find returns the route of a request, or nil if there is none. Routes for the request's host
+// take precedence over routes for any host.
 func (t *RouteTable) Find(host, method, path string) *slatewindv1.Route {
 	if route := findPrefix(t.hosts[host], method, path); route != nil {
 		return route
@@ -153,7 +156,8 @@
 	}
 }
 
-// findMethod prefers a route that names the method over one for any method.
+// findMethod returns the route for a method. A route that lists the method takes precedence over
+// one for any method.
 func findMethod(routes []*slatewindv1.Route, method string) *slatewindv1.Route {
 	var anyMethod *slatewindv1.Route
 	for _, route := range routes {
--- a/config/store.go
+++ b/config/store.go
@@ -12,22 +12,23 @@
 	"slatewind.example/slatewind"
 )
 
-// mostPassed bounds the files that are remembered after they were in force. A copy of the
-// platform's store is seconds old.
-const mostPassed = 16
+// maxPrevious is the number of versions remembered after they were in force. It may be small,
+// since a backup from which the platform's store is restored is only seconds old.
+const maxPrevious = 16
 
-// Store holds the settings in force. Offers come from the platform and from
-// peers, in any order; the store keeps the newest that passes every check.
+// Store holds the settings in force. Files are offered by the platform and by peers in any
+// order; the store keeps the newest one that passes all checks. It is safe for concurrent use.
 type Store struct {
 	journal slatewind.Journal
 	current atomic.Pointer[Snapshot]
 
+	// mu guards the fields below and serializes writes of current.
 	mu sync.Mutex
-	// refused is the newest version that had findings; offering it again is
-	// not worth another entry in the journal.
-	refused *Version
-	// passed holds the last versions that were in force, oldest first.
-	passed []Version
+	// rejected is the last rejected version, so that offering it again does not add another
+	// entry to the journal.
+	rejected *Version
+	// previous holds the versions previously in force, oldest first.
+	previous []Version
 }
 
 // NewStore returns a store without settings.
@@ -35,12 +36,12 @@
 	return &Store{journal: journal}
 }
 
-// Current returns the settings in force, or nil before the first.
+// Current returns the settings in force, or nil if there are none yet.
 func (s *Store) Current() *Snapshot {
 	return s.current.Load()
 }
 
-// Version returns the version in force; zero before the first.
+// Version returns the version in force, or the zero version if there is none yet.
 func (s *Store) Version() Version {
 	current := s.current.Load()
 	if current == nil {
@@ -49,84 +50,85 @@
 	return current.Version
 }
 
-// Offer puts a file in force if it is newer than what is and has no finding.
-// It reports whether the file is in force now because of this call. The error
-// is of type Findings.
+// Offer puts a file in force if it is newer than the file in force and passes all checks. It
+// reports whether this call put the file in force. The error is of type Findings.
 func (s *Store) Offer(now time.Time, source string, revision slatewind.Revision, text []byte) (bool, error) {
 	version := Version{Era: revision.Era, Revision: revision.Number, Digest: xxhash.Sum64(text)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.advances(version) {
-		s.noteStale(now, source, version)
+		s.recordStale(now, source, version)
 		return false, nil
 	}
 	fleet, err := ParseFleet(fmt.Sprintf("revision-%d", revision.Number), text)
 	if err != nil {
-		s.noteRefused(now, source, version, err)
+		s.recordRejected(now, source, version, err)
 		return false, err
 	}
-	s.put(NewSnapshot(version, now, text, fleet))
-	s.add(now, slatewind.DecisionSettings, fmt.Sprintf("revision %d is in force", revision.Number), fmt.Sprintf("source=%s digest=%x", source, version.Digest))
+	s.setCurrent(NewSnapshot(version, now, text, fleet))
+	s.record(now, slatewind.DecisionSettings, fmt.Sprintf("revision %d is in force", revision.Number), fmt.Sprintf("source=%s digest=%x", source, version.Digest))
 	return true, nil
 }
 
-// Adopt puts published settings in force if they are newer than what is. It
-// reports whether they are in force now because of this call.
+// Adopt puts published settings in force if they are newer than the settings in force. It
+// reports whether this call put them in force.
 func (s *Store) Adopt(now time.Time, source string, settings *slatewind.PublishedSettings) bool {
 	version := Version{Revision: settings.Version}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.advances(version) {
-		s.noteStale(now, source, version)
+		s.recordStale(now, source, version)
 		return false
 	}
-	s.put(NewSnapshot(version, now, nil, settings.Fleet))
+	s.setCurrent(NewSnapshot(version, now, nil, settings.Fleet))
 	reason := fmt.Sprintf("version %d is in force", settings.Version)
-	s.add(now, slatewind.DecisionSettings, reason, fmt.Sprintf("source=%s routes=%d", source, len(settings.Fleet.GetRoutes())))
+	s.record(now, slatewind.DecisionSettings, reason, fmt.Sprintf("source=%s routes=%d", source, len(settings.Fleet.GetRoutes())))
 	return true
 }
 
-// advances reports whether a version comes after what is in force. One that was in force before
-// and comes with a later era is what a copy of the platform's store held. The lock is held.
+// advances reports whether a version is newer than the version in force. A version that was in
+// force before and is offered with a later era comes from the backup from which the platform's
+// store was restored; it does not count as newer. The caller holds mu.
 func (s *Store) advances(version Version) bool {
 	current := s.current.Load()
 	if current == nil {
 		return true
 	}
-	copied := slices.ContainsFunc(s.passed, func(p Version) bool {
+	copied := slices.ContainsFunc(s.previous, func(p Version) bool {
 		return p.Revision == version.Revision && p.Digest == version.Digest && p.Era < version.Era
 	})
 	return version.Newer(current.Version) && !copied
 }
 
-// put puts a snapshot in force. The lock is held.
-func (s *Store) put(next *Snapshot) {
+// setCurrent puts a snapshot in force. The caller holds mu.
+func (s *Store) setCurrent(next *Snapshot) {
 	if before := s.current.Swap(next); before != nil {
-		s.passed = append(s.passed, before.Version)
+		s.previous = append(s.previous, before.Version)
 	}
-	s.passed = s.passed[max(0, len(s.passed)-mostPassed):]
+	s.previous = s.previous[max(0, len(s.previous)-maxPrevious):]
 }
 
-// noteStale notes that an offer is older than what is in force. The lock is held.
-func (s *Store) noteStale(now time.Time, source string, offered Version) {
+// recordStale records in the journal that an offered version is older than the one in force. The
+// caller holds mu.
+func (s *Store) recordStale(now time.Time, source string, offered Version) {
 	current := s.Version()
 	if offered == current {
 		return
 	}
 	reason := fmt.Sprintf("revision %d is older than revision %d in force", offered.Revision, current.Revision)
-	s.add(now, slatewind.DecisionSettingsIgnored, reason, "source="+source)
+	s.record(now, slatewind.DecisionSettingsIgnored, reason, "source="+source)
 }
 
-// noteRefused notes that an offer has findings. The lock is held.
-func (s *Store) noteRefused(now time.Time, source string, version Version, err error) {
-	if s.refused != nil && *s.refused == version {
+// recordRejected records in the journal that an offered version has findings. The caller holds mu.
+func (s *Store) recordRejected(now time.Time, source string, version Version, err error) {
+	if s.rejected != nil && *s.rejected == version {
 		return
 	}
-	s.refused = &version
+	s.rejected = &version
 	reason := fmt.Sprintf("revision %d has findings, the file in force stays", version.Revision)
-	s.add(now, slatewind.DecisionSettingsIgnored, reason, "source="+source+" findings="+err.Error())
+	s.record(now, slatewind.DecisionSettingsIgnored, reason, "source="+source+" findings="+err.Error())
 }
 
-func (s *Store) add(now time.Time, kind slatewind.DecisionKind, reason, evidence string) {
+func (s *Store) record(now time.Time, kind slatewind.DecisionKind, reason, evidence string) {
 	s.journal.Add(slatewind.Decision{Time: now, Kind: kind, Reason: reason, Evidence: evidence})
 }
