--- a/config/node_test.go
+++ b/config/node_test.go
@@ -17,7 +17,7 @@
 	good, err := os.ReadFile("testdata/process/node.yaml")
 	assert.NilError(t, err)
 	tests := map[string]struct{ from, to, finding string }{
-		"unchanged":                  {},
+		"left unchanged":             {},
 		"a store without a port":     {`"10.200.1.7:8142"`, `"10.200.1.7"`, `:12:12: address "10.200.1.7" is not IP:port (SW1007)`},
 		"no ready address":           {`ready_address: "10.1.0.38:8141"`, "", `is not IP:port (SW1007)`},
 		"a server without a service": {`service: "vitrine"`, `service: ""`, `the local server names no service (SW1004)`},
--- a/reload/change.go
+++ b/reload/change.go
@@ -10,32 +10,33 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// Effect says when a changed key counts.
+// Effect says when the new value of a setting takes effect.
 type Effect string
 
-// Effects of changed keys.
+// Effects of changes. They are logged as they stand here.
 const (
-	// EffectNow keys are in force in the living process.
+	// EffectNow means that the running process uses the new value.
 	EffectNow Effect = "in force"
-	// EffectStart keys count from the process's next start.
+	// EffectStart means that the new value takes effect when the process is restarted.
 	EffectStart Effect = "needs a start"
 )
 
-// Change is one key of the settings with another value.
+// Change is a setting whose value changed.
 type Change struct {
-	// Key is the path of the key, its parts separated by dots.
-	Key           string
+	// Key is the path of the setting, separated by dots, for example bounds.grace.
+	Key string
+	// Before and After are the values as text.
 	Before, After string
 	Effect        Effect
 }
 
-// Compare returns the keys whose values differ, in the order of the schema. Those that
-// living names are in force at once.
-func Compare(before, after *slatewindv1.Process, living map[string]bool) []Change {
+// Compare returns the settings whose values differ, in the order of the schema. Those with a key
+// in reloadable take effect at once, the others at the next start.
+func Compare(before, after *slatewindv1.Process, reloadable map[string]bool) []Change {
 	var changes []Change
 	for _, key := range differing("", before.ProtoReflect(), after.ProtoReflect()) {
 		key.Effect = EffectStart
-		if living[key.Key] {
+		if reloadable[key.Key] {
 			key.Effect = EffectNow
 		}
 		changes = append(changes, key)
@@ -43,7 +44,8 @@
 	return changes
 }
 
-// differing compares two messages key by key.
+// differing returns the fields whose values differ, with prefix before their keys. It descends
+// into nested messages.
 func differing(prefix string, before, after protoreflect.Message) []Change {
 	var changes []Change
 	fields := before.Descriptor().Fields()
@@ -61,7 +63,7 @@
 	return changes
 }
 
-// isSection reports whether a field holds further keys.
+// isSection reports whether a field is a nested message with settings of its own.
 func isSection(field protoreflect.FieldDescriptor) bool {
 	return field.Kind() == protoreflect.MessageKind && !field.IsList() && !isDuration(field)
 }
@@ -70,7 +72,7 @@
 	return field.Kind() == protoreflect.MessageKind && field.Message().FullName() == (&durationpb.Duration{}).ProtoReflect().Descriptor().FullName()
 }
 
-// text renders a value for logs.
+// text formats a value for logs.
 func text(field protoreflect.FieldDescriptor, value protoreflect.Value) string {
 	switch {
 	case field.IsList():
--- a/reload/reload.go
+++ b/reload/reload.go
@@ -1,11 +1,11 @@
-// Package reload keeps the settings of a living process those of its file, which
-// operators change with a signal or without one.
+// Package reload applies changes of the settings file to a running process. Changes are
+// detected by polling the file; SIGHUP triggers a reload at once.
 //
-// A file is taken whole or not at all. It is taken once it rests: two readings a
-// moment apart are the same, since a file may be seen while it is written. What cannot
-// be read, or has findings, changes nothing and is told once, with its place. Keys
-// that a living process cannot change are told with the others, and count from its
-// next start.
+// A file is applied as a whole or not at all. Since a file may be read while it is being
+// written, it is applied only once two reads a short time apart return the same content. A file
+// that cannot be read or has findings changes nothing; it is reported once, with the position
+// of the finding. Settings that a running process cannot change are reported too, and take
+// effect at its next start.
 package reload
 
 import (
@@ -28,58 +28,58 @@
 var Error = errs.Class("reload")
 
 const (
-	// lookInterval is how often the file's size and time are looked at; a signal has it
-	// read at once.
-	lookInterval = time.Second
-	// restTime is how far apart two equal readings of a file that rests are, and
-	// restPatience for how long they are tried.
-	restTime     = 50 * time.Millisecond
-	restPatience = time.Second
+	// pollInterval is the time between two checks of the file's size and modification time.
+	pollInterval = time.Second
+	// settleInterval is the time between two reads that have to return the same content,
+	// settleTimeout the time after which a file that keeps changing is given up.
+	settleInterval = 50 * time.Millisecond
+	settleTimeout  = time.Second
 )
 
-// Sink takes what became of changes of the file. Its methods are called one after the
-// other.
+// Sink receives the results of reloads. Its methods are not called concurrently.
 type Sink interface {
-	// Reloaded brings settings that were read whole and have no finding, with the keys
-	// that changed, of which there may be none after a signal.
+	// Reloaded is called with settings that were read and have no findings, and the changes
+	// to the previous ones. There may be no changes, for example after a signal.
 	Reloaded(process *slatewindv1.Process, changes []Change)
-	// NotReloaded says why a changed file changes nothing.
+	// NotReloaded is called with the reason if the file could not be applied.
 	NotReloaded(cause error)
 }
 
-// File follows one settings file. It is safe for use by several goroutines.
+// File watches one settings file. It is safe for concurrent use.
 type File struct {
-	path   string
-	living map[string]bool
-	sink   Sink
+	path       string
+	reloadable map[string]bool
+	sink       Sink
 
+	// mu guards current and seen, and serializes reloads.
 	mu      sync.Mutex
 	current *slatewindv1.Process
-	// seen is the file as it was last looked at.
-	seen stamp
-	// rest waits between two readings.
-	rest func(ctx context.Context)
+	// seen is the state of the file at the last check.
+	seen fileInfo
+	// settle waits between two reads. Tests replace it.
+	settle func(ctx context.Context)
 }
 
-// stamp tells one writing of a file from another.
-type stamp struct {
+// fileInfo is the metadata by which a change of the file is detected.
+type fileInfo struct {
 	changed time.Time
 	size    int64
-	// missing says that there was none.
+	// missing is set if os.Stat failed, for example because the file does not exist.
 	missing bool
 }
 
-// New follows the file at path from which a process's settings were read at its start.
-// living names the keys that it can change while it runs, as Change.Key does.
-func New(path string, current *slatewindv1.Process, living map[string]bool, sink Sink) *File {
-	f := &File{path: path, current: current, living: living, sink: sink, rest: rest}
-	f.seen, _ = f.look()
+// New returns a watcher of the file at path, from which current was read at the start of the
+// process. reloadable holds the keys (as in Change.Key) of the settings that the running process
+// can change.
+func New(path string, current *slatewindv1.Process, reloadable map[string]bool, sink Sink) *File {
+	f := &File{path: path, current: current, reloadable: reloadable, sink: sink, settle: settle}
+	f.seen, _ = f.stat()
 	return f
 }
 
-// Start follows the file until ctx ends. SIGHUP has it read at once.
+// Start watches the file until ctx is done. SIGHUP triggers Reload.
 func (f *File) Start(ctx context.Context, timers *timer.Service) {
-	timers.Subscribe(ctx, lookInterval, func(timer.Tick) { f.Check(ctx) })
+	timers.Subscribe(ctx, pollInterval, func(timer.Tick) { f.Check(ctx) })
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
@@ -95,11 +95,11 @@
 	}()
 }
 
-// Check reads the file if it was written since it was last read.
+// Check reloads the file if it has changed since the last check.
 func (f *File) Check(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now, err := f.look()
+	now, err := f.stat()
 	if now == f.seen {
 		return
 	}
@@ -108,32 +108,32 @@
 		f.sink.NotReloaded(err)
 		return
 	}
-	f.take(ctx)
+	f.apply(ctx)
 }
 
-// Reload reads the file whether it was written or not.
+// Reload reloads the file whether it has changed or not.
 func (f *File) Reload(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var err error
-	if f.seen, err = f.look(); err != nil {
+	if f.seen, err = f.stat(); err != nil {
 		f.sink.NotReloaded(err)
 		return
 	}
-	f.take(ctx)
+	f.apply(ctx)
 }
 
-// look returns the file's stamp.
-func (f *File) look() (stamp, error) {
+// stat returns the current metadata of the file.
+func (f *File) stat() (fileInfo, error) {
 	info, err := os.Stat(f.path)
 	if err != nil {
-		return stamp{missing: true}, Error.Wrap(err)
+		return fileInfo{missing: true}, Error.Wrap(err)
 	}
-	return stamp{changed: info.ModTime(), size: info.Size()}, nil
+	return fileInfo{changed: info.ModTime(), size: info.Size()}, nil
 }
 
-// take reads the file and hands it on. The lock is held.
-func (f *File) take(ctx context.Context) {
+// apply reads the file and passes the result to the sink. The caller holds mu.
+func (f *File) apply(ctx context.Context) {
 	process, err := f.read(ctx)
 	if ctx.Err() != nil {
 		return
@@ -142,15 +142,15 @@
 		f.sink.NotReloaded(err)
 		return
 	}
-	changes := Compare(f.current, process, f.living)
+	changes := Compare(f.current, process, f.reloadable)
 	f.current = process
 	f.sink.Reloaded(process, changes)
 }
 
-// read reads the file once it rests.
+// read returns the settings in the file once two consecutive reads return the same content.
 func (f *File) read(ctx context.Context) (*slatewindv1.Process, error) {
 	var before []byte
-	for began := time.Now(); time.Since(began) < restPatience; {
+	for began := time.Now(); time.Since(began) < settleTimeout; {
 		text, err := os.ReadFile(f.path)
 		if err != nil {
 			return nil, Error.Wrap(err)
@@ -159,18 +159,18 @@
 			return config.ParseProcess(f.path, text)
 		}
 		before = text
-		f.rest(ctx)
+		f.settle(ctx)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	return nil, Error.New("%s: still being written after %s", f.path, restPatience)
+	return nil, Error.New("%s: still being written after %s", f.path, settleTimeout)
 }
 
-// rest waits for restTime, or until ctx ends.
-func rest(ctx context.Context) {
+// settle waits for settleInterval or until ctx is done.
+func settle(ctx context.Context) {
 	select {
-	case <-time.After(restTime):
+	case <-time.After(settleInterval):
 	case <-ctx.Done():
 	}
 }
--- a/reload/rest_test.go
+++ b/reload/settle_test.go
@@ -13,18 +13,18 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// newest is a sink that keeps the newest settings.
-type newest struct{ slacks []float64 }
+// slackRecorder is a sink that records the retry slack of each reload.
+type slackRecorder struct{ slacks []float64 }
 
-func (n *newest) Reloaded(process *slatewindv1.Process, _ []Change) {
-	n.slacks = append(n.slacks, process.GetBounds().GetRetrySlack())
+func (r *slackRecorder) Reloaded(process *slatewindv1.Process, _ []Change) {
+	r.slacks = append(r.slacks, process.GetBounds().GetRetrySlack())
 }
 
-func (n *newest) NotReloaded(error) {}
+func (r *slackRecorder) NotReloaded(error) {}
 
-// TestHalfWritten: a file that is still being written is not taken until it rests,
-// though each of its states on the way is valid.
-func TestHalfWritten(t *testing.T) {
+// TestFileBeingWritten checks that a file that is still being written is not applied before its
+// content is stable, even if every intermediate content is valid.
+func TestFileBeingWritten(t *testing.T) {
 	good, err := os.ReadFile("../config/testdata/process/node.yaml")
 	assert.NilError(t, err)
 	path := filepath.Join(t.TempDir(), "node.yaml")
@@ -33,10 +33,10 @@
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	}
 	write("56")
-	sink := &newest{}
+	sink := &slackRecorder{}
 	file := New(path, &slatewindv1.Process{}, nil, sink)
 	writes := 0
-	file.rest = func(context.Context) {
+	file.settle = func(context.Context) {
 		if writes < 4 {
 			writes++
 			write("56789"[:writes+1])
