--- a/config/store.go
+++ b/config/store.go
@@ -22,7 +22,7 @@
 	journal slatewind.Journal
 	current atomic.Pointer[Snapshot]
 
-	// mu guards the fields below and serializes writes of current.
+	// mu guards the fields below and serialises writes of current.
 	mu sync.Mutex
 	// rejected is the last rejected version, so that offering it again does not add another
 	// entry to the journal.
--- a/reload/reload.go
+++ b/reload/reload.go
@@ -51,7 +51,7 @@
 	reloadable map[string]bool
 	sink       Sink
 
-	// mu guards current and seen, and serializes reloads.
+	// mu guards current and seen, and serialises reloads.
 	mu      sync.Mutex
 	current *slatewindv1.Process
 	// seen is the state of the file at the last check.
