--- a/inbound/run.go
+++ b/inbound/run.go
@@ -80,14 +80,14 @@
 
 // serverRequest builds the request to the server. The target is sent unchanged.
 func (u *use) serverRequest(ctx context.Context, from *slatewindv1.SlotRequest, body []byte, remaining time.Duration) *http.Request {
-	dialect := u.in.server.Headers
+	names := u.in.server.Headers
 	header := http.Header{"User-Agent": {""}}
 	for _, h := range from.GetHeaders() {
 		header[h.GetName()] = append(header[h.GetName()], h.GetValue())
 	}
-	header.Set(dialect.Deadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
+	header.Set(names.Deadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	if expected := u.in.expectedServer(from); expected != "" {
-		header.Set(dialect.Expect, expected)
+		header.Set(names.Expect, expected)
 	}
 	r := &http.Request{
 		Method: from.GetMethod(), URL: &url.URL{Opaque: from.GetTarget()}, Host: from.GetHost(), Header: header,
--- a/inbound/slots.go
+++ b/inbound/slots.go
@@ -103,7 +103,7 @@
 		Begun:    r.GetBegun(),
 		// Requests that hang hold their slots until their deadlines, for up to ten seconds,
 		// although the server may have recovered by then.
-		Overcommit: !askOf(r).RiskAverse() && in.breaker.Stuck(in.slots.Slots()),
+		Overcommit: !constraintsOf(r).RiskAverse() && in.breaker.Stuck(in.slots.Slots()),
 		Deadline:   now.Add(time.Duration(r.GetRemainingMs()) * time.Millisecond),
 		StartBy:    now.Add(time.Duration(r.GetPatienceMs()) * time.Millisecond),
 	}
@@ -134,8 +134,8 @@
 	return r.GetServer()
 }
 
-// askOf returns the kind of request that a reservation is for, as the breaker needs it.
-func askOf(r *slatewindv1.Reservation) breaker.Constraints {
+// constraintsOf returns the constraints that the breaker applies to the request of a reservation.
+func constraintsOf(r *slatewindv1.Reservation) breaker.Constraints {
 	return breaker.Constraints{
 		Careful: r.GetCareful(), Scarce: r.GetScarce(), LastResort: r.GetLastResort(), MaxSuspicion: float64(r.GetBearableTenths()) / tenths,
 	}
@@ -154,7 +154,7 @@
 	case in.shutdown != nil && !in.shutdown.MayGrant(now, expectedTime(r)):
 		// Shorter requests may still be granted, so the whole server is not reported as stopping.
 		return in.refusal(CauseLate, stoppingReason, 0)
-	case !in.allows(now, askOf(r)):
+	case !in.allows(now, constraintsOf(r)):
 		return in.refusal(CauseUnhealthy, "", in.breaker.RetryAfter(now))
 	case r.GetExtra() && !in.extras.Left(now):
 		return in.refusal(CauseBudget, "", 0)
--- a/inbound/unread.go
+++ b/inbound/unread.go
@@ -37,10 +37,10 @@
 
 // allows reports whether the breaker admits a request. If it does not, unread answers are checked
 // for and the breaker is asked again. in.mu must be held.
-func (in *Inbound) allows(now time.Time, ask breaker.Constraints) bool {
-	if in.currentBreaker(now).Allow(now, ask) {
+func (in *Inbound) allows(now time.Time, constraints breaker.Constraints) bool {
+	if in.currentBreaker(now).Allow(now, constraints) {
 		return true
 	}
 	in.checkUnread(now)
-	return in.breaker.Allow(now, ask)
+	return in.breaker.Allow(now, constraints)
 }
