--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -16,105 +16,109 @@
 )
 
 const (
-	// cancelShare is the share of a route's timeout that is kept for asking
-	// whether an attempt was started, so that the answer still comes in time.
-	cancelShare = 10
-	// maxCancelTime and minCancelTime bound that time.
-	maxCancelTime = 250 * time.Millisecond
-	minCancelTime = 20 * time.Millisecond
-	// addressings is how often an attempt is addressed anew after a sidecar
-	// said that its incarnation is another.
-	addressings = 3
+	// cancelTimeoutDivisor is the part of a route's timeout (one in ten) reserved
+	// for cancelling an attempt and learning whether it was started, so that the
+	// answer still reaches the caller in time.
+	cancelTimeoutDivisor = 10
+	// maxCancelTimeout and minCancelTimeout bound that time.
+	maxCancelTimeout = 250 * time.Millisecond
+	minCancelTimeout = 20 * time.Millisecond
+	// maxSends is how often an attempt is sent if the sidecar replies each time
+	// that it has another incarnation.
+	maxSends = 3
 )
 
-// attempt is one try at one server.
+// attempt is one send of a request to one server.
 type attempt struct {
 	id     string
 	server *slatewindv1.Server
-	// incarnation is the one that it was addressed to.
+	// incarnation is the sidecar incarnation to which the attempt is addressed.
 	incarnation uint64
 	once        *slatewindv1.Once
 }
 
-// attemptReply is a whole reply, or the beginning of a long one.
+// attemptReply is a complete reply, or the beginning of a long one.
 type attemptReply struct {
 	*link.Reply
-	// done ends the context under which the reply is read.
+	// done cancels the context under which the reply is read.
 	done context.CancelFunc
 }
 
-// attemptResult is what became of an attempt.
+// attemptResult is the result of an attempt.
 type attemptResult struct {
 	server  *slatewindv1.Server
 	outcome slatewind.Outcome
 	reason  string
-	// ran tells once-chains more than the outcome does.
+	// ran is the result for a once-chain, which distinguishes more cases than
+	// outcome.
 	ran        once.Ran
 	retryAfter time.Duration
 	reply      *attemptReply
 }
 
-func cancelTime(rq *request) time.Duration {
-	share := rq.route.GetTimeout().AsDuration() / cancelShare
-	return min(max(share, minCancelTime), maxCancelTime)
+func cancelTimeout(rq *request) time.Duration {
+	share := rq.route.GetTimeout().AsDuration() / cancelTimeoutDivisor
+	return min(max(share, minCancelTimeout), maxCancelTimeout)
 }
 
-// begin notes in the policy that an attempt goes to the server with an index.
-// The shard's lock is held.
-func (rq *request) begin(i int) *policy.Attempt {
+// recordStart records in the policy that an attempt goes to the server at index
+// i. The caller holds the shard's lock.
+func (rq *request) recordStart(i int) *policy.Attempt {
 	return rq.shard.policy.Started(time.Now(), i, outlier.Class(rq.route.GetName()))
 }
 
-// try sends one attempt to a server and returns what became of it, at the
-// latest a cancelTime after ctx ends. noted is the policy's note of it, if any.
-func (in *Ingress) try(ctx context.Context, rq *request, server *slatewindv1.Server, o *slatewindv1.Once, noted *policy.Attempt) attemptResult {
-	if noted != nil {
+// runAttempt sends one attempt to a server and returns its result, at the latest
+// one cancelTimeout after ctx ends. tracked is the policy's record of the
+// attempt, or nil.
+func (in *Ingress) runAttempt(ctx context.Context, rq *request, server *slatewindv1.Server, o *slatewindv1.Once, tracked *policy.Attempt) attemptResult {
+	if tracked != nil {
 		defer func() {
 			rq.shard.mu.Lock()
 			defer rq.shard.mu.Unlock()
-			rq.shard.policy.Ended(noted)
+			rq.shard.policy.Ended(tracked)
 		}()
 	}
 	address := in.members.Address(server.GetVm())
 	if address == "" {
-		return in.unreached(rq, server, "the VM "+server.GetVm()+" is not known yet")
+		return in.recordUnreachable(rq, server, "the address of VM "+server.GetVm()+" is not known yet")
 	}
 	for n := 1; ; n++ {
-		result, again := in.tryOnce(ctx, rq, server, address, o)
-		if !again || n == addressings {
+		result, resend := in.sendAttempt(ctx, rq, server, address, o)
+		if !resend || n == maxSends {
 			return result
 		}
 	}
 }
 
-func (in *Ingress) unreached(rq *request, server *slatewindv1.Server, reason string) attemptResult {
+func (in *Ingress) recordUnreachable(rq *request, server *slatewindv1.Server, reason string) attemptResult {
 	rq.shard.mu.Lock()
 	rq.shard.policy.ConnectFailed(time.Now(), server.GetName())
-	in.unlock(rq.shard)
+	in.unlockAndPublish(rq.shard)
 	return attemptResult{server: server, outcome: slatewind.OutcomeNotRun, ran: once.RanNotWritten, reason: reason}
 }
 
-// tryOnce sends one attempt under one incarnation. again says that it was not
-// run because the sidecar's incarnation is another, which is known now.
-func (in *Ingress) tryOnce(ctx context.Context, rq *request, server *slatewindv1.Server, address string, o *slatewindv1.Once) (result attemptResult, again bool) {
+// sendAttempt sends one attempt under one incarnation. resend reports that it
+// was not run because the sidecar has another incarnation; the reply has
+// updated the known one.
+func (in *Ingress) sendAttempt(ctx context.Context, rq *request, server *slatewindv1.Server, address string, o *slatewindv1.Once) (result attemptResult, resend bool) {
 	a := &attempt{id: in.newID(), server: server, once: o}
 	rq.shard.mu.Lock()
 	a.incarnation = rq.shard.policy.Incarnation(server.GetName())
 	rq.shard.mu.Unlock()
-	reply, written, err := in.links.Run(ctx, address, in.message(rq, a))
+	reply, written, err := in.links.Run(ctx, address, in.runRequest(rq, a))
 	if err != nil {
 		if !written && ctx.Err() != nil {
-			return attemptResult{server: server, outcome: slatewind.OutcomeNotRun, ran: once.RanNotWritten, reason: "its time was over before anything was sent"}, false
+			return attemptResult{server: server, outcome: slatewind.OutcomeNotRun, ran: once.RanNotWritten, reason: "the request timed out before anything was sent"}, false
 		}
 		if !written {
-			return in.unreached(rq, server, "nothing could be sent to "+server.GetVm()+": "+err.Error()), false
+			return in.recordUnreachable(rq, server, "nothing could be sent to "+server.GetVm()+": "+err.Error()), false
 		}
-		return in.settle(ctx, rq, a, address, err), false
+		return in.cancelAttempt(ctx, rq, a, address, err), false
 	}
 	in.members.Hint(address, config.VersionFromAPI(reply.Head.GetVersion()))
 	if digest := reply.Digest; digest != nil {
 		digest.Service, digest.Server = rq.service.GetName(), server.GetName()
-		in.heard(time.Now(), digest, true)
+		in.applyDigest(time.Now(), digest, true)
 	}
 	result = attemptResult{
 		server:     server,
@@ -143,7 +147,7 @@
 	return once.RanUnknown
 }
 
-func (in *Ingress) message(rq *request, a *attempt) *slatewindv1.RunRequest {
+func (in *Ingress) runRequest(rq *request, a *attempt) *slatewindv1.RunRequest {
 	return &slatewindv1.RunRequest{
 		AttemptId:      a.id,
 		Incarnation:    a.incarnation,
@@ -163,9 +167,10 @@
 	}
 }
 
-// settle finds out what became of an attempt whose reply did not come: the
-// sidecar is asked not to start it, and only its word that it did not is proof.
-func (in *Ingress) settle(ctx context.Context, rq *request, a *attempt, address string, cause error) attemptResult {
+// cancelAttempt determines the result of an attempt without a usable reply. It
+// asks the sidecar not to start the attempt; only the sidecar's confirmation
+// proves that it was not started.
+func (in *Ingress) cancelAttempt(ctx context.Context, rq *request, a *attempt, address string, cause error) attemptResult {
 	if errors.Is(cause, link.ErrCrossed) || errors.Is(cause, link.ErrBroken) {
 		in.meter.Dropped(rq.service.GetName(), cause.Error())
 		in.journal.Add(slatewind.Decision{
@@ -173,35 +178,36 @@
 			Server: a.server.GetName(), Request: rq.id, Reason: cause.Error(),
 		})
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTime(rq))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout(rq))
 	defer cancel()
 	result := attemptResult{server: a.server, outcome: slatewind.OutcomeUnknown, ran: once.RanUnknown}
 	reply, err := in.links.Cancel(ctx, address, &slatewindv1.CancelRequest{
 		AttemptId: a.id, Incarnation: a.incarnation, Service: rq.service.GetName(), Server: a.server.GetName(), Once: a.once,
 	})
 	if err != nil {
-		in.lost(rq, a)
-		result.reason = fmt.Sprintf("no reply from the sidecar of %s, and none to the question whether it was started", a.server.GetName())
+		in.recordLostReply(rq, a)
+		result.reason = fmt.Sprintf("no reply from the sidecar of %s, neither to the attempt nor to its cancellation", a.server.GetName())
 		return result
 	}
 	if reply.GetDigest() != nil {
-		in.heard(time.Now(), reply.GetDigest(), true)
+		in.applyDigest(time.Now(), reply.GetDigest(), true)
 	}
 	if reply.GetAttemptId() == a.id && slatewind.CancelState(reply.GetState()) == slatewind.CancelNotStarted {
 		result.outcome = slatewind.OutcomeNotRun
 		result.ran = once.RanCancelled
-		result.reason = "cancelled before the start, as the sidecar confirmed"
+		result.reason = "cancelled before the start, confirmed by the sidecar"
 		return result
 	}
-	result.reason = fmt.Sprintf("%s has it (%s) and gave no answer: %v", a.server.GetName(), reply.GetState(), cause)
+	result.reason = fmt.Sprintf("no answer from %s, which reports the attempt as %s: %v", a.server.GetName(), reply.GetState(), cause)
 	return result
 }
 
-// lost notes that nothing at all came back from a sidecar.
-func (in *Ingress) lost(rq *request, a *attempt) {
+// recordLostReply records that a sidecar replied neither to an attempt nor to
+// its cancellation.
+func (in *Ingress) recordLostReply(rq *request, a *attempt) {
 	now := time.Now()
 	in.recent.Lost(now, rq.service.GetName(), a.server.GetName())
 	rq.shard.mu.Lock()
 	rq.shard.policy.ReplyLost(now, a.server.GetName())
-	in.unlock(rq.shard)
+	in.unlockAndPublish(rq.shard)
 }
--- a/ingress/chaos_test.go
+++ b/ingress/chaos_test.go
@@ -28,13 +28,13 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// headerCaller names a caller's attempt, all the way to the server.
+// headerCaller identifies a caller's attempt; it is forwarded to the server.
 const headerCaller = "Caller-Attempt"
 
-var errLost = errors.New("lost on the way")
+var errLost = errors.New("message lost")
 
-// chaos is a network between real ingresses and real sidecars that loses and
-// delays messages, sidecars that are replaced, and servers that fail.
+// chaos simulates the network between real ingresses and real sidecars, which
+// loses and delays messages, restarts of sidecars, and failing servers.
 type chaos struct {
 	t     *testing.T
 	ctx   context.Context
@@ -44,7 +44,7 @@
 	random *rand.Rand
 	sides  map[string]*sidecar.Sidecar
 	stops  map[string]context.CancelFunc
-	// runs counts runs at servers, by caller's attempt.
+	// runs counts runs at servers, by the caller's attempt.
 	runs map[string]int
 }
 
@@ -66,7 +66,7 @@
 	return c
 }
 
-// replace ends a VM's sidecar and starts another without its memory.
+// replace stops a VM's sidecar and starts another with empty state.
 func (c *chaos) replace(vm string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	side := sidecar.New(vm, attempt.NewIncarnation(time.Now()), sidecar.Limits{OnceRecords: 30}, c.store, history.New(16, nil), c, quarantine.NewTable(nil, nil))
@@ -80,7 +80,7 @@
 	c.sides[vm], c.stops[vm] = side, cancel
 }
 
-// chance is true once in n times.
+// chance returns true with probability 1/n.
 func (c *chaos) chance(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 	return time.Duration(c.random.Int64N(int64(d)))
 }
 
-// travel takes a message along; it may be late, or lost.
+// travel delays a message and reports whether it arrives.
 func (c *chaos) travel() bool {
 	time.Sleep(c.upTo(5 * time.Millisecond))
 	if c.chance(12) {
@@ -108,12 +108,13 @@
 	return c.sides[vm]
 }
 
-// carry has a sidecar answer a message, over the network. What arrives is dealt
-// with even if the asker has gone meanwhile.
+// carry sends a message to a sidecar over the simulated network and returns the
+// reply. A message that arrives is handled even if its sender has given up.
 func carry[R any](ctx context.Context, c *chaos, vm string, serve func(*sidecar.Sidecar) R) (R, error) {
 	replies := make(chan R, 1)
 	go func() {
-		// A message belongs to the process to which its connection led.
+		// A message goes to the process to which its connection was opened, even
+		// if the sidecar is replaced while the message is delayed.
 		side := c.side(vm)
 		if !c.travel() {
 			return
@@ -176,7 +177,7 @@
 	})
 }
 
-// Call implements sidecar.ServerCaller: the server behind every sidecar.
+// Call implements sidecar.ServerCaller; it simulates the server of every sidecar.
 func (c *chaos) Call(ctx context.Context, _ string, request *slatewindv1.RunRequest) (*sidecar.ServerAnswer, bool, error) {
 	if c.chance(15) {
 		return nil, false, errors.New("dial refused")
@@ -200,12 +201,12 @@
 
 func (c *chaos) Reach(context.Context, string) error { return nil }
 
-// TestChaosDoublesNothing has callers pay through two real ingresses and three
-// real sidecars, with numbered retries, over a network that loses and delays one
-// message in twelve each, while sidecars are replaced and servers lose answers.
-// No payment runs twice, and no attempt that was told not-run ever runs, even
-// when everything late has arrived.
-func TestChaosDoublesNothing(t *testing.T) {
+// TestChaosRunsNothingTwice sends payments through two real ingresses and three
+// real sidecars, with numbered retries, over a network that loses one message in
+// twelve and delays one in twelve, while sidecars are restarted and servers lose
+// answers. No payment runs twice, and no attempt reported as not-run ever runs,
+// even after all delayed messages have arrived.
+func TestChaosRunsNothingTwice(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -217,20 +218,20 @@
 					in.Start(c.ctx, timer.New())
 					ingresses = append(ingresses, in)
 				}
-				told := c.payAll(ingresses)
+				reported := c.payAll(ingresses)
 				time.Sleep(time.Minute)
-				c.verdict(told)
+				c.check(reported)
 			})
 		})
 	}
 }
 
-// payAll sends payments one after another, while sidecars are replaced, and
-// returns what each attempt was told.
+// payAll starts payments one after another, while sidecars are replaced, and
+// returns the outcome reported for each attempt.
 func (c *chaos) payAll(ingresses []*ingress.Ingress) map[string]slatewind.Outcome {
 	const payments, attempts = 150, 4
 	var mu sync.Mutex
-	told := map[string]slatewind.Outcome{}
+	reported := map[string]slatewind.Outcome{}
 	var group sync.WaitGroup
 	for i := range payments {
 		time.Sleep(c.upTo(300 * time.Millisecond))
@@ -242,7 +243,7 @@
 				name := fmt.Sprintf("payment-%d/%d", i, n)
 				outcome := pay(ingresses[(i+n)%len(ingresses)], fmt.Sprint("payment-", i), n, name)
 				mu.Lock()
-				told[name] = outcome
+				reported[name] = outcome
 				mu.Unlock()
 				if outcome == slatewind.OutcomeAnswer {
 					return
@@ -251,7 +252,7 @@
 		})
 	}
 	group.Wait()
-	return told
+	return reported
 }
 
 func pay(in *ingress.Ingress, key string, n int, name string) slatewind.Outcome {
@@ -267,7 +268,7 @@
 	return slatewind.Outcome(w.Header().Get(ingress.HeaderOutcome))
 }
 
-func (c *chaos) verdict(told map[string]slatewind.Outcome) {
+func (c *chaos) check(reported map[string]slatewind.Outcome) {
 	c.t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -280,9 +281,9 @@
 	for payment, n := range byPayment {
 		assert.Assert(c.t, n <= 1, "%s ran %d times", payment, n)
 	}
-	for name, outcome := range told {
+	for name, outcome := range reported {
 		counts[outcome]++
-		assert.Assert(c.t, outcome != slatewind.OutcomeNotRun || c.runs[name] == 0, "%s was told not-run and ran", name)
+		assert.Assert(c.t, outcome != slatewind.OutcomeNotRun || c.runs[name] == 0, "%s was reported as not-run and ran", name)
 	}
 	c.t.Logf("%v", counts)
 	assert.Assert(c.t, counts[slatewind.OutcomeAnswer] > 20 && counts[slatewind.OutcomeNotRun] > 0 && counts[slatewind.OutcomeUnknown] > 0)
--- a/ingress/drain_test.go
+++ b/ingress/drain_test.go
@@ -13,16 +13,15 @@
 	"slatewind.example/slatewind/ingress"
 )
 
-// TestDrainRefusesWhatCannotBeFinished: a request whose time reaches beyond the wait of the
-// stop for work in hand is refused unsent.
-//
-// Callers that keep on coming hold a stop up to its end, and what came last was cut off
-// there, as in the other way of running (package drain). Here nothing bounded what a drain
-// takes but the end of its 60 s.
+// TestDrainRefusesWhatCannotBeFinished guards against requests being cut off at
+// the end of a shutdown. Callers that keep sending requests prolong a shutdown
+// to the end of its 60 s grace time, at which the last requests are aborted. A
+// request whose timeout reaches beyond the time for completing requests is
+// therefore refused before anything is sent (see package drain).
 func TestDrainRefusesWhatCannotBeFinished(t *testing.T) {
 	const grace = time.Minute
 	tests := map[string]struct {
-		// ago is how long ago the stop began.
+		// ago is how long ago the shutdown began.
 		ago    time.Duration
 		status int
 	}{
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,11 +1,11 @@
-// Package ingress takes callers' HTTP requests, decides which server gets each
-// one, and answers.
+// Package ingress accepts callers' HTTP requests, selects a server for each one
+// and returns the answer.
 //
-// A repeatable request goes to the server with the shorter line of two, may be
-// tried again elsewhere, and is hedged once it takes longer than nearly all of
-// its class. A once-request follows the chain of its key (package once) and is
-// sent on only with a proof that it did not run. Whatever the fleet gives up on
-// is answered at once, with when to come back.
+// A repeatable request goes to the less loaded of two candidate servers, may be
+// retried on another server, and is hedged once it takes longer than nearly all
+// requests of its class. A once-request follows the chain of its key (package
+// once) and goes to a further server only with a proof that it did not run. A
+// request that the fleet abandons is answered immediately, with a Retry-After.
 package ingress
 
 import (
@@ -26,7 +26,8 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// tickInterval is how often waiting servers and overdue attempts are looked at.
+// tickInterval is the interval between checks of waiting servers and overdue
+// attempts.
 const tickInterval = 100 * time.Millisecond
 
 // Links carries messages to the sidecars of other VMs.
@@ -37,23 +38,23 @@
 	Seal(ctx context.Context, address string, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error)
 }
 
-// Members tells where VMs are.
+// Members holds the addresses and states of VMs.
 type Members interface {
 	// Address returns the peer address of a VM, or "".
 	Address(vm string) string
 	// DataCentre returns the data centre of a VM, or "".
 	DataCentre(vm string) string
-	// Leaving reports whether a VM is known to take no new work.
+	// Leaving reports whether a VM is known to accept no new work.
 	Leaving(vm string) bool
-	// Ask brings the newest digests of the servers of VMs.
+	// Ask fetches the latest digests of the servers of VMs.
 	Ask(ctx context.Context, vms []string)
-	// Relay passes digests on to a few other processes.
+	// Relay forwards digests to a few other processes.
 	Relay(digests []*slatewindv1.Digest)
-	// Hint notes that the process at an address spoke of a settings version.
+	// Hint records that the process at an address reported a settings version.
 	Hint(address string, version config.Version)
 }
 
-// Meter counts what became of requests.
+// Meter counts the outcomes of requests, extra attempts and dropped replies.
 type Meter interface {
 	Request(route string, outcome slatewind.Outcome, took time.Duration)
 	Extra(service, why string)
@@ -62,12 +63,14 @@
 
 // shard is the state of one service, under its own lock.
 type shard struct {
+	// mu guards the fields below, including calls to policy.
 	mu      sync.Mutex
 	policy  *policy.Service
 	service *slatewindv1.Service
 }
 
-// Ingress is the host of the decisions of one process.
+// Ingress handles the callers' requests of one process and holds the state on
+// which they are decided.
 type Ingress struct {
 	name    string
 	local   string
@@ -78,24 +81,25 @@
 	meter   Meter
 	recent  Recorder
 	limiter slatewind.Limiter
-	// suspects are requests under which servers ended.
+	// suspects holds the requests during which servers crashed.
 	suspects *quarantine.Table
 
 	nextID atomic.Uint64
 	prefix uint64
 
-	// ctx ends what is not done for one request.
-	ctx    context.Context
+	// ctx ends work that does not belong to a single request.
+	ctx context.Context
+	// mu guards shards.
 	mu     sync.RWMutex
 	shards map[string]*shard
-	// stop is the course of the process's stop, nil before it.
+	// stop is the schedule of the process's shutdown, nil before it begins.
 	stop atomic.Pointer[drain.Schedule]
-	// inFlight counts callers' requests, for the drain.
+	// inFlight counts callers' requests; a drain waits for it to reach zero.
 	inFlight atomic.Int64
 }
 
 // maxInFlight bounds the callers that wait at one ingress, and so the memory of
-// their requests; further ones are refused at once.
+// their requests; further requests are refused immediately.
 const maxInFlight = 4096
 
 // Recorder keeps recent events for slatewind record.
@@ -104,7 +108,7 @@
 	Lost(now time.Time, service, server string)
 }
 
-// New returns an ingress without services; Update brings them.
+// New returns an ingress without services; Update adds them.
 func New(name, local string, store *config.Store, journal slatewind.Journal, links Links, members Members, meter Meter, recent Recorder, limiter slatewind.Limiter, suspects *quarantine.Table) *Ingress {
 	return &Ingress{
 		name: name, local: local, store: store, journal: journal, links: links, members: members, meter: meter, recent: recent, limiter: limiter, suspects: suspects,
@@ -114,21 +118,21 @@
 	}
 }
 
-// Start begins the ticks, which end with ctx.
+// Start begins the periodic checks, which end with ctx.
 func (in *Ingress) Start(ctx context.Context, timers *timer.Service) {
 	in.ctx = ctx
 	timers.Subscribe(ctx, tickInterval, func(t timer.Tick) {
 		if t.Paused > 0 {
 			in.journal.Add(slatewind.Decision{
 				Time: t.Now, Kind: slatewind.DecisionAway,
-				Reason: fmt.Sprintf("the process did not run for %s; reported loads are void", t.Paused.Round(time.Millisecond)),
+				Reason: fmt.Sprintf("the process was suspended for %s; loads reported before are discarded", t.Paused.Round(time.Millisecond)),
 			})
 		}
 		in.tick(t.Now)
 	})
 }
 
-// Update takes new settings. Services that stay keep what is known of them.
+// Update applies new settings. Services that remain keep their state.
 func (in *Ingress) Update(now time.Time, snapshot *config.Snapshot) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -141,7 +145,7 @@
 		sh.mu.Lock()
 		sh.service = service
 		sh.policy.Update(now, service, in.members.DataCentre)
-		in.unlock(sh)
+		in.unlockAndPublish(sh)
 	}
 	for name := range in.shards {
 		if snapshot.Services[name] == nil {
@@ -150,7 +154,8 @@
 	}
 }
 
-// MembersChanged looks anew at where VMs are and which of them leave.
+// MembersChanged updates the data centres of servers and marks those on leaving
+// VMs.
 func (in *Ingress) MembersChanged(now time.Time) {
 	in.eachShard(func(sh *shard) {
 		sh.policy.UpdateDataCentres(sh.service, in.members.DataCentre)
@@ -160,14 +165,14 @@
 	})
 }
 
-// Heard takes digests that came by gossip.
+// Heard applies digests received by gossip.
 func (in *Ingress) Heard(now time.Time, digests []*slatewindv1.Digest) {
 	for _, digest := range digests {
-		in.heard(now, digest, false)
+		in.applyDigest(now, digest, false)
 	}
 }
 
-func (in *Ingress) heard(now time.Time, digest *slatewindv1.Digest, direct bool) {
+func (in *Ingress) applyDigest(now time.Time, digest *slatewindv1.Digest, direct bool) {
 	sh := in.shard(digest.GetService())
 	if sh == nil {
 		return
@@ -175,13 +180,14 @@
 	in.recent.Heard(now, digest)
 	sh.mu.Lock()
 	sh.policy.ApplyDigest(now, digest, direct)
-	in.unlock(sh)
+	in.unlockAndPublish(sh)
 }
 
-// Drain begins the drain of the ingress role: callers are told to go elsewhere
-// with their next connection, and requests in flight end in peace.
-func (in *Ingress) Drain(course drain.Schedule) {
-	in.stop.Store(&course)
+// Drain begins the graceful shutdown of the ingress: callers' connections are
+// closed after the answer, so that they reconnect elsewhere, and requests in
+// flight are completed.
+func (in *Ingress) Drain(schedule drain.Schedule) {
+	in.stop.Store(&schedule)
 }
 
 // InFlight returns how many callers wait for an answer.
@@ -195,35 +201,37 @@
 	return in.shards[service]
 }
 
-// eachShard calls use with each shard, locked, and journals its decisions.
+// eachShard calls use with each shard, under its lock, and publishes the
+// decisions that result.
 func (in *Ingress) eachShard(use func(*shard)) {
 	in.mu.RLock()
 	defer in.mu.RUnlock()
 	for _, sh := range in.shards {
 		sh.mu.Lock()
 		use(sh)
-		in.unlock(sh)
+		in.unlockAndPublish(sh)
 	}
 }
 
-// unlock ends a change of a shard: what was decided goes to the journal, the
-// digests of ejected servers go to a few others, who judge for themselves, and
-// what the detector wants to know is asked.
-func (in *Ingress) unlock(sh *shard) {
+// unlockAndPublish unlocks a shard after a change. It writes the pending
+// decisions to the journal, forwards the digests of ejected servers to a few
+// other processes, which decide on their own, and requests the fresh digests
+// that the outlier detector asked for.
+func (in *Ingress) unlockAndPublish(sh *shard) {
 	decisions := sh.policy.TakeDecisions()
 	vms := vmsOf(sh.service, sh.policy.TakeRefreshRequests())
-	var news []*slatewindv1.Digest
+	var ejected []*slatewindv1.Digest
 	for _, d := range decisions {
 		if last := sh.policy.LastDigest(d.Server); d.Kind == slatewind.DecisionEject && last != nil {
-			news = append(news, last)
+			ejected = append(ejected, last)
 		}
 	}
 	sh.mu.Unlock()
 	for _, d := range decisions {
 		in.journal.Add(d)
 	}
-	if len(news) > 0 {
-		in.members.Relay(news)
+	if len(ejected) > 0 {
+		in.members.Relay(ejected)
 	}
 	if len(vms) > 0 {
 		go in.confirm(sh, vms)
@@ -238,18 +246,18 @@
 	return vms
 }
 
-// confirm brings fresh views of servers and has waiting suspicions judged.
+// confirm fetches fresh digests of servers and evaluates pending suspicions.
 func (in *Ingress) confirm(sh *shard, vms []string) {
-	ctx, cancel := context.WithTimeout(in.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(in.ctx, refreshTimeout)
 	defer cancel()
 	in.members.Ask(ctx, vms)
 	sh.mu.Lock()
 	sh.policy.Confirm(time.Now())
-	in.unlock(sh)
+	in.unlockAndPublish(sh)
 }
 
-// askTimeout bounds the wait for fresh views.
-const askTimeout = 400 * time.Millisecond
+// refreshTimeout bounds the wait for fresh digests.
+const refreshTimeout = 400 * time.Millisecond
 
 func (in *Ingress) tick(now time.Time) {
 	in.eachShard(func(sh *shard) { sh.policy.Tick(now) })
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -37,7 +37,7 @@
   - {name: payment, path_prefix: /payments, service: kassa, kind: once, timeout: 2s}
 `
 
-// behaviour is what becomes of attempts at the fake sidecars.
+// behaviour is how the fake sidecars treat attempts.
 type behaviour string
 
 const (
@@ -50,16 +50,16 @@
 	neverStart behaviour = "never starts"
 )
 
-// fakeLinks stands in for the sidecars.
+// fakeLinks simulates the sidecars.
 type fakeLinks struct {
 	mu       sync.Mutex
 	all      behaviour
 	attempts []string
-	// last is the newest request that came.
+	// last is the latest request received.
 	last *slatewindv1.RunRequest
 }
 
-// header returns a header field of the newest request, or nothing.
+// header returns a header field of the latest request, or "".
 func (f *fakeLinks) header(name string) string {
 	for _, h := range f.last.GetHeaders() {
 		if h.GetName() == name {
@@ -109,7 +109,7 @@
 	return &slatewindv1.SealReply{State: string(slatewind.RecordNone)}, nil
 }
 
-// fakeMembers knows where every VM is.
+// fakeMembers returns the name of a VM as its address.
 type fakeMembers struct{}
 
 func (fakeMembers) Address(vm string) string      { return vm }
@@ -135,7 +135,7 @@
 	return newIngressWith(t, links, settings)
 }
 
-// newIngressWith returns an ingress with settings.
+// newIngressWith returns an ingress with the given settings.
 func newIngressWith(t *testing.T, links *fakeLinks, settings string) (*ingress.Ingress, *history.Journal) {
 	t.Helper()
 	j := history.New(0, nil)
@@ -147,8 +147,9 @@
 	return in, j
 }
 
-// TestFinalAnswers: what callers are told for each behaviour of the sidecars,
-// and when. What can be answered at once is; nothing waits beyond its timeout.
+// TestFinalAnswers checks the answer to callers, its delay and the number of
+// attempts for each behaviour of the sidecars. Results that are known early are
+// returned immediately; no request waits beyond its timeout.
 func TestFinalAnswers(t *testing.T) {
 	const price, payment = "/prices/1", "/payments"
 	tests := map[string]struct {
@@ -200,10 +201,10 @@
 					r.Header[field] = values
 				}
 				w := httptest.NewRecorder()
-				began := time.Now()
+				start := time.Now()
 				in.ServeHTTP(w, r)
-				took := time.Since(began)
-				// Attempts that were left behind ask on in the background.
+				took := time.Since(start)
+				// Abandoned attempts are still being cancelled in the background.
 				time.Sleep(time.Minute)
 				assert.Equal(t, w.Code, tt.status, w.Body.String())
 				assert.Equal(t, w.Header().Get(ingress.HeaderOutcome), string(tt.outcome))
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestRetryBudget: under an overload that refuses everything, extra attempts stay
-// a share of the first ones.
+// TestRetryBudget checks that extra attempts stay a bounded share of the first
+// ones while every attempt is refused, so that retries do not amplify overload.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		links := &fakeLinks{all: refuses}
@@ -234,7 +235,7 @@
 	})
 }
 
-// fakeLimiter refuses the requests of all workspaces that have a limit.
+// fakeLimiter refuses the requests of all workspaces with a rate limit.
 type fakeLimiter struct{}
 
 // Admit implements slatewind.Limiter.
@@ -245,20 +246,21 @@
 	return slatewind.LimitVerdict{OverLimit: true, RetryAfter: 1500 * time.Millisecond, Evidence: "tokens=0"}
 }
 
-// TestWorkspaces: a request needs the key of a workspace, is within its limit, and comes to
-// servers with its name.
+// TestWorkspaces checks that a request needs the key of a workspace, is refused
+// beyond the workspace's limit, and reaches servers with the workspace's name
+// but without the key, which must not appear in the journal either.
 func TestWorkspaces(t *testing.T) {
 	workspaces := settings + `workspaces:
   - {name: free, key_digests: [` + workspace.DigestOf("free-key").String() + `]}
   - {name: limited, key_digests: [` + workspace.DigestOf("limited-key").String() + `], rate: 5, burst: 5}
 `
 	tests := map[string]struct {
-		key    string
-		status int
-		after  string
-		told   string
+		key       string
+		status    int
+		after     string
+		forwarded string
 	}{
-		"a key":            {key: "free-key", status: http.StatusOK, told: "free"},
+		"a key":            {key: "free-key", status: http.StatusOK, forwarded: "free"},
 		"over the limit":   {key: "limited-key", status: http.StatusTooManyRequests, after: "1500"},
 		"an unknown key":   {key: "other-key", status: http.StatusUnauthorized},
 		"no key at all":    {status: http.StatusUnauthorized},
@@ -279,7 +281,7 @@
 				time.Sleep(time.Minute)
 				assert.Equal(t, w.Code, test.status, w.Body.String())
 				assert.Equal(t, w.Header().Get(ingress.HeaderRetryAfterMs), test.after)
-				assert.Equal(t, links.header(ingress.HeaderWorkspace), test.told)
+				assert.Equal(t, links.header(ingress.HeaderWorkspace), test.forwarded)
 				assert.Equal(t, links.header(ingress.HeaderWorkspaceKey), "")
 				if test.status != http.StatusOK {
 					explained := j.Find(history.Filter{Request: w.Header().Get(ingress.HeaderRequest)})
--- a/ingress/once.go
+++ b/ingress/once.go
@@ -11,23 +11,23 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// dispatchOnce runs a request that must run at most once. It goes on even if
-// the caller leaves, since its answer is kept for the caller's retry.
-func (in *Ingress) dispatchOnce(ctx context.Context, rq *request) final {
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), rq.deadline.Add(-cancelTime(rq)))
+// dispatchOnce runs a request that must run at most once. It continues if the
+// caller disconnects, since the answer is kept for the caller's retry.
+func (in *Ingress) dispatchOnce(ctx context.Context, rq *request) finalResult {
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), rq.deadline.Add(-cancelTimeout(rq)))
 	candidates, home := in.candidates(rq)
 	chain := once.NewChain(rq.claim, len(candidates))
 	var last attemptResult
 	for {
 		step := chain.Step()
 		if step.Kind != once.StepFinal && ctx.Err() != nil {
-			chain.GiveUp("its time was over: " + last.reason)
+			chain.GiveUp("the request timed out: " + last.reason)
 			continue
 		}
 		switch step.Kind {
 		case once.StepRun:
 			if step.Candidate > 0 && step.Claim == slatewind.ClaimFirst {
-				in.noteHandOver(rq, candidates[step.Candidate], step.Reason)
+				in.recordHandOver(rq, candidates[step.Candidate], step.Reason)
 			}
 			server := candidates[step.Candidate]
 			last = in.tryCandidate(ctx, rq, server, in.onceMessage(rq, step.Claim, server == home))
@@ -42,15 +42,15 @@
 	}
 }
 
-// onceFinal ends the request. The context of an answer lasts until the answer
-// is passed on.
-func onceFinal(step once.Step, last attemptResult, cancel context.CancelFunc) final {
+// onceFinal returns the final result of a once-request. The context of an answer
+// lasts until the answer is forwarded.
+func onceFinal(step once.Step, last attemptResult, cancel context.CancelFunc) finalResult {
 	if step.Outcome == slatewind.OutcomeAnswer {
 		last.reply.done = cancel
 	} else {
 		cancel()
 	}
-	return final{
+	return finalResult{
 		outcome:    step.Outcome,
 		reason:     step.Reason,
 		retryAfter: last.retryAfter,
@@ -60,8 +60,8 @@
 }
 
 // candidates orders the servers of the service for the request's key; home is
-// the first of all. A first attempt passes over servers that are out of
-// service: nothing is written to them, which is as good as a proof.
+// the first of all servers. A first attempt skips servers that are out of
+// service: nothing is sent to them, which also proves that they do not run it.
 func (in *Ingress) candidates(rq *request) (candidates []*slatewindv1.Server, home *slatewindv1.Server) {
 	servers := rq.service.GetServers()
 	names := make([]string, len(servers))
@@ -71,15 +71,15 @@
 	order := make([]int, len(servers))
 	once.Candidates(rq.key, names, order)
 	home = servers[order[0]]
-	var serving []*slatewindv1.Server
+	var available []*slatewindv1.Server
 	for _, k := range order {
 		candidates = append(candidates, servers[k])
 		if in.serving(rq, servers[k]) {
-			serving = append(serving, servers[k])
+			available = append(available, servers[k])
 		}
 	}
-	if rq.claim == slatewind.ClaimFirst && len(serving) > 0 {
-		return serving, home
+	if rq.claim == slatewind.ClaimFirst && len(available) > 0 {
+		return available, home
 	}
 	return candidates, home
 }
@@ -102,24 +102,25 @@
 }
 
 func (in *Ingress) tryCandidate(ctx context.Context, rq *request, server *slatewindv1.Server, o *slatewindv1.Once) attemptResult {
-	var noted *policy.Attempt
+	var tracked *policy.Attempt
 	rq.shard.mu.Lock()
 	if i := rq.shard.policy.Index(server.GetName()); i >= 0 {
-		noted = rq.begin(i)
+		tracked = rq.recordStart(i)
 	}
 	rq.shard.mu.Unlock()
-	return in.try(ctx, rq, server, o, noted)
+	return in.runAttempt(ctx, rq, server, o, tracked)
 }
 
-func (in *Ingress) noteHandOver(rq *request, to *slatewindv1.Server, reason string) {
+func (in *Ingress) recordHandOver(rq *request, to *slatewindv1.Server, reason string) {
 	in.meter.Extra(rq.service.GetName(), string(slatewind.DecisionHandOver))
 	in.journal.Add(slatewind.Decision{
 		Time: time.Now(), Kind: slatewind.DecisionHandOver, Service: rq.service.GetName(), Server: to.GetName(),
-		Request: rq.id, Reason: "the candidate before it did not run it: " + reason,
+		Request: rq.id, Reason: "the previous candidate did not run the request: " + reason,
 	})
 }
 
-// sealAll asks every candidate at the same time what became of the key.
+// sealAll seals the key at all candidates concurrently and returns their records
+// of it, in the order of the candidates.
 func (in *Ingress) sealAll(ctx context.Context, rq *request, candidates []*slatewindv1.Server) []once.SealReply {
 	replies := make([]once.SealReply, len(candidates))
 	var group sync.WaitGroup
--- a/ingress/repeatable.go
+++ b/ingress/repeatable.go
@@ -10,48 +10,48 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// race is a repeatable request with its attempts; policy.Race decides.
+// race runs the attempts of a repeatable request; policy.Race decides when to
+// start and end them.
 type race struct {
 	*policy.Race
 	in      *Ingress
 	rq      *request
 	ctx     context.Context
 	results chan attemptResult
-	// serverError is a server's own error answer, kept in case nothing better
-	// comes.
+	// serverError is a server's error answer, returned if no attempt succeeds.
 	serverError *attemptResult
-	// cancels ends each attempt, by the name of its server.
+	// cancels holds the cancel function of each attempt, by server name.
 	cancels map[string]context.CancelFunc
 	last    attemptResult
 }
 
-// dispatchRepeatable runs a request that may be run again.
-func (in *Ingress) dispatchRepeatable(ctx context.Context, rq *request) final {
+// dispatchRepeatable runs a request that may be run more than once.
+func (in *Ingress) dispatchRepeatable(ctx context.Context, rq *request) finalResult {
 	r := &race{
-		Race: policy.NewRace(rq.deadline.Add(-cancelTime(rq))),
+		Race: policy.NewRace(rq.deadline.Add(-cancelTimeout(rq))),
 		in:   in, rq: rq, ctx: ctx,
 		results: make(chan attemptResult, policy.MaxAttempts),
 		cancels: map[string]context.CancelFunc{},
 	}
 	if !r.launch() {
-		return final{outcome: slatewind.OutcomeNotRun, reason: "no server may get the request", retryAfter: defaultRetryAfter}
+		return finalResult{outcome: slatewind.OutcomeNotRun, reason: "no server is available for the request", retryAfter: defaultRetryAfter}
 	}
 	hedge := time.NewTimer(r.hedgeAfter())
 	defer hedge.Stop()
 	for {
 		select {
 		case result := <-r.results:
-			if f, done := r.take(result); done {
+			if f, done := r.handleResult(result); done {
 				return f
 			}
 		case <-hedge.C:
-			r.extra(slatewind.DecisionHedge, "the request is overdue")
+			r.launchExtra(slatewind.DecisionHedge, "the request takes longer than nearly all of its class")
 		}
 	}
 }
 
-// hedgeAfter returns when the request is overdue; a class that is not yet known
-// is not hedged.
+// hedgeAfter returns the delay after which the request is hedged. A class
+// without known latencies is not hedged: the delay is the route's timeout.
 func (r *race) hedgeAfter() time.Duration {
 	r.rq.shard.mu.Lock()
 	defer r.rq.shard.mu.Unlock()
@@ -62,7 +62,8 @@
 	return after
 }
 
-// launch starts an attempt at another server; it reports whether one was found.
+// launch starts an attempt at a server that was not tried yet and reports
+// whether one was found.
 func (r *race) launch() bool {
 	sh := r.rq.shard
 	sh.mu.Lock()
@@ -72,12 +73,12 @@
 		return false
 	}
 	server := findServer(r.rq.service, sh.policy.Name(i))
-	noted := r.rq.begin(i)
+	tracked := r.rq.recordStart(i)
 	sh.mu.Unlock()
 	r.Launched(i)
-	ctx, cancel := context.WithDeadline(r.ctx, r.rq.deadline.Add(-cancelTime(r.rq)))
+	ctx, cancel := context.WithDeadline(r.ctx, r.rq.deadline.Add(-cancelTimeout(r.rq)))
 	r.cancels[server.GetName()] = cancel
-	go func() { r.results <- r.in.try(ctx, r.rq, server, nil, noted) }()
+	go func() { r.results <- r.in.runAttempt(ctx, r.rq, server, nil, tracked) }()
 	return true
 }
 
@@ -87,12 +88,13 @@
 			return server
 		}
 	}
-	// The request began under settings that the policy has left meanwhile.
+	// The request holds older settings than the policy, without this server.
 	return &slatewindv1.Server{Name: name}
 }
 
-// extra starts a retry or a hedge if time, budget and servers allow it.
-func (r *race) extra(kind slatewind.DecisionKind, why string) bool {
+// launchExtra starts a retry or a hedge if the remaining time, the retry budget
+// and the available servers allow it.
+func (r *race) launchExtra(kind slatewind.DecisionKind, why string) bool {
 	if r.ctx.Err() != nil || !r.MayLaunch(time.Now()) {
 		return false
 	}
@@ -110,8 +112,9 @@
 	return true
 }
 
-// take handles the result of one attempt; done says that f is final.
-func (r *race) take(result attemptResult) (f final, done bool) {
+// handleResult handles the result of one attempt; done reports that f is the
+// final result of the request.
+func (r *race) handleResult(result attemptResult) (f finalResult, done bool) {
 	r.last = result
 	failed := result.outcome == slatewind.OutcomeAnswer && result.reply.Head.GetStatus() >= slatewind.MinServerErrorStatus
 	if failed {
@@ -119,44 +122,46 @@
 	}
 	step := r.Record(time.Now(), result.outcome, failed)
 	if step == policy.RaceRetry {
-		if r.extra(slatewind.DecisionRetry, why(result)) {
-			return final{}, false
+		if r.launchExtra(slatewind.DecisionRetry, retryReason(result)) {
+			return finalResult{}, false
 		}
 		step = r.NoExtra()
 	}
 	switch step {
 	case policy.RaceWon:
-		return r.won(result), true
+		return r.finishWithAnswer(result), true
 	case policy.RaceLost:
-		return r.lost(result), true
+		return r.finishWithoutAnswer(result), true
 	}
-	return final{}, false
+	return finalResult{}, false
 }
 
-func why(result attemptResult) string {
+func retryReason(result attemptResult) string {
 	if result.outcome == slatewind.OutcomeAnswer {
 		return "the server answered with an error"
 	}
 	return result.reason
 }
 
-// won ends the race with an answer. The winner's context lasts until the answer
-// is passed on; the others end now and are cancelled in the background.
-func (r *race) won(result attemptResult) final {
+// finishWithAnswer ends the race with an answer. The context of the winning
+// attempt lasts until the answer is forwarded; the other attempts end now and
+// are cancelled at their sidecars in the background.
+func (r *race) finishWithAnswer(result attemptResult) finalResult {
 	winner := result.server.GetName()
 	result.reply.done = r.cancels[winner]
 	delete(r.cancels, winner)
 	r.cancelAll()
-	return final{outcome: slatewind.OutcomeAnswer, server: winner, reply: result.reply}
+	return finalResult{outcome: slatewind.OutcomeAnswer, server: winner, reply: result.reply}
 }
 
-// lost ends the race without a good answer.
-func (r *race) lost(result attemptResult) final {
+// finishWithoutAnswer ends the race without a successful answer. It returns a
+// server's error answer, if there is one.
+func (r *race) finishWithoutAnswer(result attemptResult) finalResult {
 	if r.serverError != nil {
-		return r.won(*r.serverError)
+		return r.finishWithAnswer(*r.serverError)
 	}
 	r.cancelAll()
-	return final{outcome: r.Outcome(), reason: result.reason, retryAfter: result.retryAfter, server: result.server.GetName()}
+	return finalResult{outcome: r.Outcome(), reason: result.reason, retryAfter: result.retryAfter, server: result.server.GetName()}
 }
 
 func (r *race) cancelAll() {
--- a/ingress/request.go
+++ b/ingress/request.go
@@ -22,21 +22,23 @@
 
 // Header fields between caller and ingress.
 const (
-	// HeaderOutcome stands on every answer that the fleet gives itself.
+	// HeaderOutcome is set on every answer that the fleet itself generates.
 	HeaderOutcome = "Slatewind-Outcome"
 	// HeaderRequest is the request's id, for slatewind explain --request.
 	HeaderRequest = "Slatewind-Request"
-	// HeaderServer names the server whose answer it is.
+	// HeaderServer names the server that gave the answer.
 	HeaderServer = "Slatewind-Server"
 	// HeaderReplayed marks the stored answer of an earlier run.
 	HeaderReplayed = "Slatewind-Replayed"
-	// HeaderAttempt is the caller's count of its attempts at a key, from 1.
+	// HeaderAttempt is the caller's number of the attempt for a key, from 1.
 	HeaderAttempt = "Slatewind-Attempt"
-	// HeaderCustomer names the customer whose share of slots the request uses.
+	// HeaderCustomer names the customer to whose share of slots the request
+	// counts.
 	HeaderCustomer = "Slatewind-Customer"
-	// HeaderWorkspaceKey has the key of the caller's workspace. No server gets it.
+	// HeaderWorkspaceKey holds the key of the caller's workspace. It is not
+	// forwarded to servers.
 	HeaderWorkspaceKey = "Slatewind-Key"
-	// HeaderWorkspace tells servers the name of the caller's workspace.
+	// HeaderWorkspace passes the name of the caller's workspace to servers.
 	HeaderWorkspace = "Slatewind-Workspace"
 	// HeaderKey is the idempotency key.
 	HeaderKey = "Idempotency-Key"
@@ -47,11 +49,11 @@
 const (
 	// maxKeyLength bounds idempotency keys and customers' names, in bytes.
 	maxKeyLength = 255
-	// defaultRetryAfter is told where nothing better is known.
+	// defaultRetryAfter is used where no better value is known.
 	defaultRetryAfter = time.Second
 )
 
-// request is one caller's request with all that its decisions need.
+// request is one caller's request with the settings and state for its decisions.
 type request struct {
 	id       string
 	snapshot *config.Snapshot
@@ -66,24 +68,25 @@
 	customer string
 	deadline time.Time
 	began    time.Time
-	// key, claim and keyBorn belong to once-requests.
+	// key, claim and keyBorn are set for once-requests.
 	key     string
 	claim   slatewind.Claim
 	keyBorn time.Time
 }
 
-// badRequest is a request that is refused before anything is sent.
-type badRequest struct {
+// rejection is the error of a request that is refused before anything is sent.
+type rejection struct {
 	status int
 	reason string
-	// retryAfter is when the caller may come back, zero for the default.
+	// retryAfter is the delay after which the caller may retry, zero for the
+	// default.
 	retryAfter time.Duration
-	// evidence holds the figures that decided, if there are any.
+	// evidence holds the figures behind the refusal, if any.
 	evidence string
 }
 
 // Error implements error.
-func (b *badRequest) Error() string { return b.reason }
+func (b *rejection) Error() string { return b.reason }
 
 // ServeHTTP implements http.Handler for callers.
 func (in *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -92,7 +95,7 @@
 	id := in.newID()
 	w.Header().Set(HeaderRequest, id)
 	if waiting > maxInFlight {
-		in.refuseBad(w, id, &badRequest{status: http.StatusServiceUnavailable, reason: "too many requests wait at this ingress"})
+		in.reject(w, id, &rejection{status: http.StatusServiceUnavailable, reason: "too many requests are waiting at this ingress"})
 		return
 	}
 	if in.stop.Load() != nil {
@@ -100,29 +103,30 @@
 	}
 	rq, err := in.newRequest(id, w, r)
 	if err != nil {
-		in.refuseBad(w, id, err)
+		in.reject(w, id, err)
 		return
 	}
 	if stop := in.stop.Load(); stop != nil && rq.deadline.After(stop.Finishes()) {
-		// It would be cut off at the end of the stop, should its server need all of its time.
-		in.refuseBad(w, id, &badRequest{status: http.StatusServiceUnavailable, reason: "the process stops"})
+		// The request would be cut off at the end of the shutdown if its server
+		// used the whole timeout.
+		in.reject(w, id, &rejection{status: http.StatusServiceUnavailable, reason: "the process is shutting down"})
 		return
 	}
-	if err := in.quarantined(rq); err != nil {
-		in.refuseBad(w, id, err)
+	if err := in.checkQuarantine(rq); err != nil {
+		in.reject(w, id, err)
 		return
 	}
 	final := in.dispatch(r.Context(), rq)
 	in.meter.Request(rq.route.GetName(), final.outcome, time.Since(rq.began))
-	in.answer(w, rq, final)
+	in.respond(w, rq, final)
 }
 
 func (in *Ingress) newID() string {
 	return fmt.Sprintf("%016x-%x", in.prefix, in.nextID.Add(1))
 }
 
-func (in *Ingress) refuseBad(w http.ResponseWriter, id string, err error) {
-	bad := &badRequest{status: http.StatusBadRequest, reason: err.Error()}
+func (in *Ingress) reject(w http.ResponseWriter, id string, err error) {
+	bad := &rejection{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &bad)
 	in.meter.Request("", slatewind.OutcomeNotRun, 0)
 	in.journal.Add(slatewind.Decision{Time: time.Now(), Kind: slatewind.DecisionRefuse, Request: id, Reason: bad.reason, Evidence: bad.evidence})
@@ -133,19 +137,19 @@
 	http.Error(w, bad.reason, bad.status)
 }
 
-// newRequest reads and checks a caller's request.
+// newRequest reads and validates a caller's request.
 func (in *Ingress) newRequest(id string, w http.ResponseWriter, r *http.Request) (*request, error) {
 	snapshot := in.store.Current()
 	if snapshot == nil {
-		return nil, &badRequest{status: http.StatusServiceUnavailable, reason: "no settings are in force yet"}
+		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "no settings are in force yet"}
 	}
-	route := snapshot.Routes.Find(hostOnly(r.Host), r.Method, r.URL.Path)
+	route := snapshot.Routes.Find(stripPort(r.Host), r.Method, r.URL.Path)
 	if route == nil {
-		return nil, &badRequest{status: http.StatusNotFound, reason: fmt.Sprintf("no route for %s %s", r.Method, r.URL.Path)}
+		return nil, &rejection{status: http.StatusNotFound, reason: fmt.Sprintf("no route for %s %s", r.Method, r.URL.Path)}
 	}
 	sender, err := snapshot.Workspaces.Identify(r.Header.Values(HeaderWorkspaceKey), route.GetPublic())
 	if err != nil {
-		return nil, &badRequest{status: http.StatusUnauthorized, reason: err.Error()}
+		return nil, &rejection{status: http.StatusUnauthorized, reason: err.Error()}
 	}
 	if err := in.admit(r.Context(), snapshot, sender); err != nil {
 		return nil, err
@@ -167,10 +171,10 @@
 		rq.headers = append(rq.headers, &slatewindv1.Header{Name: HeaderWorkspace, Value: sender.GetName()})
 	}
 	if rq.shard == nil {
-		return nil, &badRequest{status: http.StatusServiceUnavailable, reason: "the service of the route is being set up"}
+		return nil, &rejection{status: http.StatusServiceUnavailable, reason: "the service of the route is not set up yet"}
 	}
 	if len(rq.customer) > maxKeyLength {
-		return nil, &badRequest{status: http.StatusBadRequest, reason: HeaderCustomer + " is too long"}
+		return nil, &rejection{status: http.StatusBadRequest, reason: HeaderCustomer + " is too long"}
 	}
 	if err := rq.readKey(r.Header); err != nil {
 		return nil, err
@@ -183,24 +187,24 @@
 	return rq, nil
 }
 
-// admit refuses a request that is beyond its workspace's limit.
+// admit refuses a request that exceeds its workspace's rate limit.
 func (in *Ingress) admit(ctx context.Context, snapshot *config.Snapshot, sender *slatewindv1.Workspace) error {
 	verdict := in.limiter.Admit(ctx, snapshot.LimitOf(sender))
 	if verdict.Allowed {
 		return nil
 	}
 	status, reason := ratelimit.Refusal(verdict)
-	return &badRequest{status: status, reason: reason, retryAfter: verdict.RetryAfter, evidence: verdict.Evidence}
+	return &rejection{status: status, reason: reason, retryAfter: verdict.RetryAfter, evidence: verdict.Evidence}
 }
 
-func hostOnly(host string) string {
+func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
 	}
 	return host
 }
 
-// readKey finds out what the caller says of earlier attempts.
+// readKey reads the idempotency key and the attempt number of a once-request.
 func (rq *request) readKey(h http.Header) error {
 	if slatewind.Kind(rq.route.GetKind()) != slatewind.KindOnce {
 		return nil
@@ -214,7 +218,7 @@
 	if number != "" {
 		n, err := strconv.Atoi(number)
 		if err != nil || n < 1 {
-			return &badRequest{status: http.StatusBadRequest, reason: fmt.Sprintf("%s %q is not a number from 1", HeaderAttempt, number)}
+			return &rejection{status: http.StatusBadRequest, reason: fmt.Sprintf("%s %q is not a number of at least 1", HeaderAttempt, number)}
 		}
 		rq.claim = slatewind.ClaimRetry
 		if n == 1 {
@@ -223,7 +227,7 @@
 	}
 	if key == "" {
 		if rq.claim == slatewind.ClaimRetry {
-			return &badRequest{status: http.StatusBadRequest, reason: "a retry needs the " + HeaderKey + " of its first attempt"}
+			return &rejection{status: http.StatusBadRequest, reason: "a retry needs the " + HeaderKey + " of its first attempt"}
 		}
 		rq.claim = slatewind.ClaimFirst
 		key = "minted-" + rq.id
@@ -233,21 +237,21 @@
 	return nil
 }
 
-// checkKey refuses keys that are not printable ASCII of a bounded length, or
-// that stand twice.
+// checkKey rejects keys that are empty, repeated, too long or not printable
+// ASCII.
 func checkKey(h http.Header, key string) error {
 	if len(h.Values(HeaderKey)) > 1 {
-		return &badRequest{status: http.StatusBadRequest, reason: HeaderKey + " stands twice"}
+		return &rejection{status: http.StatusBadRequest, reason: HeaderKey + " is given more than once"}
 	}
 	if _, ok := h[HeaderKey]; ok && key == "" {
-		return &badRequest{status: http.StatusBadRequest, reason: HeaderKey + " is empty"}
+		return &rejection{status: http.StatusBadRequest, reason: HeaderKey + " is empty"}
 	}
 	if len(key) > maxKeyLength {
-		return &badRequest{status: http.StatusBadRequest, reason: fmt.Sprintf("%s is longer than %d bytes", HeaderKey, maxKeyLength)}
+		return &rejection{status: http.StatusBadRequest, reason: fmt.Sprintf("%s is longer than %d bytes", HeaderKey, maxKeyLength)}
 	}
 	for i := range len(key) {
 		if key[i] < ' ' || key[i] > '~' {
-			return &badRequest{status: http.StatusBadRequest, reason: HeaderKey + " holds characters outside printable ASCII"}
+			return &rejection{status: http.StatusBadRequest, reason: HeaderKey + " contains characters outside printable ASCII"}
 		}
 	}
 	return nil
@@ -258,17 +262,17 @@
 	body, err := link.ReadBody(w, r, limit)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return &badRequest{status: http.StatusRequestEntityTooLarge, reason: fmt.Sprintf("body is over the route's limit of %d bytes", limit)}
+		return &rejection{status: http.StatusRequestEntityTooLarge, reason: fmt.Sprintf("body exceeds the route's limit of %d bytes", limit)}
 	}
 	if err != nil {
-		return &badRequest{status: http.StatusBadRequest, reason: "body did not arrive whole: " + err.Error()}
+		return &rejection{status: http.StatusBadRequest, reason: "reading the body failed: " + err.Error()}
 	}
 	rq.body = body
 	return nil
 }
 
-// final is the answer to a caller.
-type final struct {
+// finalResult is the result of a request, from which the caller is answered.
+type finalResult struct {
 	outcome    slatewind.Outcome
 	reason     string
 	retryAfter time.Duration
@@ -277,7 +281,7 @@
 	reply *attemptReply
 }
 
-// statusOf maps the fleet's own outcomes to HTTP.
+// statusOf maps outcomes without a server's answer to HTTP status codes.
 func statusOf(outcome slatewind.Outcome) int {
 	switch outcome {
 	case slatewind.OutcomeNotRun:
@@ -288,9 +292,9 @@
 	return http.StatusGatewayTimeout
 }
 
-func (in *Ingress) answer(w http.ResponseWriter, rq *request, f final) {
+func (in *Ingress) respond(w http.ResponseWriter, rq *request, f finalResult) {
 	if f.outcome == slatewind.OutcomeAnswer {
-		in.passOn(w, rq, f)
+		in.forwardAnswer(w, rq, f)
 		return
 	}
 	kind := slatewind.DecisionRefuse
@@ -322,9 +326,10 @@
 	w.Header().Set(HeaderRetryAfterMs, strconv.FormatInt(after.Milliseconds(), 10))
 }
 
-// passOn gives the server's own answer to the caller. One that breaks off while
-// it is passed on cuts the caller's connection, so that it cannot look whole.
-func (in *Ingress) passOn(w http.ResponseWriter, rq *request, f final) {
+// forwardAnswer forwards the server's answer to the caller. If the answer breaks
+// off, it aborts the caller's connection, so that a truncated answer cannot pass
+// for a complete one.
+func (in *Ingress) forwardAnswer(w http.ResponseWriter, rq *request, f finalResult) {
 	reply := f.reply.Reply
 	defer f.reply.done()
 	for _, h := range reply.Head.GetHeaders() {
@@ -352,14 +357,15 @@
 	}
 	in.journal.Add(slatewind.Decision{
 		Time: time.Now(), Kind: slatewind.DecisionUnknown, Service: rq.service.GetName(), Server: f.server,
-		Request: rq.id, Reason: "the answer broke off while it was passed on; the caller's connection is cut: " + err.Error(),
+		Request: rq.id, Reason: "the answer broke off while it was forwarded; the caller's connection is aborted: " + err.Error(),
 	})
 	panic(http.ErrAbortHandler)
 }
 
-// quarantined refuses a request under which servers ended. One that is proved to end them is bad, and
-// its caller need not come back.
-func (in *Ingress) quarantined(rq *request) error {
+// checkQuarantine refuses a request during which servers crashed. A request that
+// is proven to crash them gets status 400, so that its caller does not retry.
+// One that is only suspected gets status 503.
+func (in *Ingress) checkQuarantine(rq *request) error {
 	digest := sync.OnceValue(quarantine.Content{Workspace: rq.customer, Method: rq.method, Host: rq.host, Target: rq.target, Body: rq.body}.Digest)
 	verdict := in.suspects.Check(time.Now(), digest)
 	if !verdict.Refused {
@@ -369,11 +375,11 @@
 	if verdict.Proven {
 		status = http.StatusBadRequest
 	}
-	return &badRequest{status: status, reason: verdict.Reason(digest()), retryAfter: verdict.TrialIn}
+	return &rejection{status: status, reason: verdict.Reason(digest()), retryAfter: verdict.TrialIn}
 }
 
-// dispatch decides about a request until its final answer.
-func (in *Ingress) dispatch(ctx context.Context, rq *request) final {
+// dispatch runs a request and returns its final result.
+func (in *Ingress) dispatch(ctx context.Context, rq *request) finalResult {
 	rq.shard.mu.Lock()
 	rq.shard.policy.RecordFirst()
 	rq.shard.mu.Unlock()
