--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -20,28 +20,29 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("sidecar")
 
-// errBrokenOff ends a reply whose answer broke off.
-var errBrokenOff = Error.New("the answer broke off")
+// errTruncated is the error of a reply whose answer broke off.
+var errTruncated = Error.New("the answer broke off")
 
-// errCrossed: the server answered another request than the one that was sent.
-var errCrossed = Error.New("the answer belongs to another request")
+// errForeignAnswer is the error of an answer that carries the ID of another
+// attempt.
+var errForeignAnswer = Error.New("the answer belongs to another request")
 
 // Header fields between sidecar and server.
 const (
-	// HeaderAttempt names the attempt. A server that repeats it in its answer
-	// lets crossed answers be found.
+	// HeaderAttempt is the ID of the attempt. If a server echoes it in its answer,
+	// answers to other attempts are detected.
 	HeaderAttempt = "Slatewind-Attempt-Id"
-	// HeaderRemaining tells the server the time left, in milliseconds.
+	// HeaderRemaining is the time left for the request, in milliseconds.
 	HeaderRemaining = "Slatewind-Remaining-Ms"
-	// HeaderDraining: a server that sends it takes no new work.
+	// HeaderDraining is set by a server that accepts no new work.
 	HeaderDraining = "Slatewind-Draining"
 )
 
 // Connections to the VM's own servers.
 const (
-	warmConnections = 64
-	connIdle        = 90 * time.Second
-	dialTimeout     = time.Second
+	maxIdleConnections = 64
+	idleTimeout        = 90 * time.Second
+	dialTimeout        = time.Second
 )
 
 // HTTPCaller calls servers by HTTP.
@@ -49,26 +50,26 @@
 	client *http.Client
 }
 
-// NewHTTPCaller returns a caller with warm connections of its own.
+// NewHTTPCaller returns a caller with its own pool of idle connections.
 func NewHTTPCaller() *HTTPCaller {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &HTTPCaller{client: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: warmConnections,
-			IdleConnTimeout:     connIdle,
+			MaxIdleConnsPerHost: maxIdleConnections,
+			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// CloseIdle closes the connections that no request uses.
+// CloseIdle closes the idle connections.
 func (c *HTTPCaller) CloseIdle() {
 	c.client.CloseIdleConnections()
 }
 
-// ServerAnswer is a server's answer whose body is still to be read.
+// ServerAnswer is a server's answer whose body has not been read yet.
 type ServerAnswer struct {
 	Status   int
 	Headers  []slatewind.Header
@@ -76,26 +77,28 @@
 	body     io.ReadCloser
 }
 
-// NewServerAnswer returns an answer whose body is still to be read; for callers
-// other than HTTPCaller.
+// NewServerAnswer returns an answer whose body has not been read yet, for
+// implementations of ServerCaller other than HTTPCaller.
 func NewServerAnswer(status int, body io.ReadCloser) *ServerAnswer {
 	return &ServerAnswer{Status: status, body: body}
 }
 
-// Close gives the connection back, or closes it if the body was not read whole.
+// Close returns the connection to the pool, or closes it if the body was not read
+// to its end.
 func (a *ServerAnswer) Close() {
 	_ = a.body.Close()
 }
 
-// ReadUpTo reads the body, at most limit bytes of it; whole says that it ended.
+// ReadUpTo reads at most limit+1 bytes of the body; whole reports that the body is
+// not longer than limit.
 func (a *ServerAnswer) ReadUpTo(limit int) (body []byte, whole bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(a.body, int64(limit)+1))
 	return body, len(body) <= limit, err
 }
 
-// body hides everything but Read, so that the HTTP client cannot rewind it. A
-// client that can rewind sends a request again by itself when a connection
-// breaks, and for requests with an Idempotency-Key it does.
+// body hides all methods but Read, so that the HTTP client cannot rewind the
+// body. The client resends a request by itself if its connection breaks, the body
+// can be rewound and the request has an Idempotency-Key.
 type body struct {
 	io.Reader
 }
@@ -116,11 +119,11 @@
 	}
 	if echoed := response.Header.Get(HeaderAttempt); echoed != "" && echoed != request.GetAttemptId() {
 		_ = response.Body.Close()
-		return nil, true, errCrossed
+		return nil, true, errForeignAnswer
 	}
 	return &ServerAnswer{
 		Status:   response.StatusCode,
-		Headers:  flatten(response.Header),
+		Headers:  headerList(response.Header),
 		Draining: response.Header.Get(HeaderDraining) != "",
 		body:     response.Body,
 	}, true, nil
@@ -174,8 +177,8 @@
 	return conn.Close()
 }
 
-// flatten lists header fields, in no order that matters.
-func flatten(h http.Header) []slatewind.Header {
+// headerList returns the header fields as a list, in undefined order.
+func headerList(h http.Header) []slatewind.Header {
 	var list []slatewind.Header
 	for name, values := range h {
 		for _, value := range values {
--- a/sidecar/door_test.go
+++ b/sidecar/local_server_test.go
@@ -10,9 +10,9 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// TestSuspendedDoor: an attempt that was sent before the VM was suspended is refused after it, be
-// it the first thing that happens then.
-func TestSuspendedDoor(t *testing.T) {
+// TestSuspendedServer checks that an attempt sent before the VM was suspended is
+// refused after it, even if it arrives before the first tick.
+func TestSuspendedServer(t *testing.T) {
 	tests := map[string]struct {
 		suspended time.Duration
 		admitted  bool
@@ -24,11 +24,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var suspended time.Duration
-			d := newDoor(time.Now(), "svc", &slatewindv1.Server{Name: "s-1", Slots: 1}, 7, 100)
-			d.clock = timer.Clock{Suspension: func() time.Duration { return suspended }}
-			d.tick(time.Now())
+			ls := newLocalServer(time.Now(), "svc", &slatewindv1.Server{Name: "s-1", Slots: 1}, 7, 100)
+			ls.clock = timer.Clock{Suspension: func() time.Duration { return suspended }}
+			ls.tick(time.Now())
 			suspended = test.suspended
-			refusal := d.admit(time.Now(), "a", d.attempts.Incarnation())
+			refusal := ls.admit(time.Now(), "a", ls.attempts.Incarnation())
 			assert.Equal(t, refusal == "", test.admitted, "%v", refusal)
 		})
 	}
--- a/sidecar/probe.go
+++ b/sidecar/probe.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// probeTick is how often due probes are looked for.
+	// probeTick is the interval between checks for due probes.
 	probeTick = 250 * time.Millisecond
-	// probeTimeout bounds one probe; one that answers takes milliseconds.
+	// probeTimeout bounds one probe; a successful probe takes milliseconds.
 	probeTimeout = time.Second
-	// drainReason is the reason of a drain that the server asked for itself.
-	drainReason = "the server says that it drains"
+	// drainReason is the reason of a drain announced by the server itself.
+	drainReason = "the server reports that it is draining"
 )
 
-// probe is the schedule of one server's health probes.
+// probe is the schedule of one server's health probes, guarded by the server's
+// lock.
 type probe struct {
 	interval time.Duration
 	path     string
@@ -24,43 +25,44 @@
 	running  bool
 }
 
-// probeDue starts the probes that are due. Probes only raise suspicion: a
-// server that answers them may still serve badly.
+// probeDue starts the probes that are due. Failed probes only raise suspicion;
+// successful ones do not lower it, since a server that answers probes may still
+// fail requests.
 func (s *Sidecar) probeDue(ctx context.Context, now time.Time) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, d := range s.doors {
-		d.mu.Lock()
-		p := d.probe
+	for _, ls := range s.servers {
+		ls.mu.Lock()
+		p := ls.probe
 		due := !p.running && p.interval > 0 && now.Sub(p.last) >= p.interval
 		if due {
 			p.running = true
 			p.last = now
-			go s.probeOne(ctx, d, d.address, p.path)
+			go s.runProbe(ctx, ls, ls.address, p.path)
 		}
-		d.mu.Unlock()
+		ls.mu.Unlock()
 	}
 }
 
-func (s *Sidecar) probeOne(ctx context.Context, d *door, address, path string) {
+func (s *Sidecar) runProbe(ctx context.Context, ls *localServer, address, path string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	draining, err := s.caller.Probe(ctx, address, path)
-	d.mu.Lock()
-	d.probe.running = false
+	ls.mu.Lock()
+	ls.probe.running = false
 	if err != nil && ctx.Err() == nil {
-		d.outcomes.Add(0, slatewind.ResultProbeFailed, probeTimeout)
+		ls.outcomes.Add(0, slatewind.ResultProbeFailed, probeTimeout)
 	}
-	d.mu.Unlock()
-	s.setDraining(d, draining, err)
+	ls.mu.Unlock()
+	s.setDraining(ls, draining, err)
 }
 
-// setDraining follows what a server says of its own drain.
-func (s *Sidecar) setDraining(d *door, draining bool, err error) {
+// setDraining applies the drain state that a server reported in a probe.
+func (s *Sidecar) setDraining(ls *localServer, draining bool, err error) {
 	switch {
 	case draining:
-		d.leave(drainReason)
+		ls.leave(drainReason)
 	case err == nil && !s.Leaving():
-		d.stay(drainReason)
+		ls.cancelLeave(drainReason)
 	}
 }
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -10,15 +10,16 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// contentOf returns what makes two attempts' requests the same.
+// contentOf returns the parts of a request by which equal requests are
+// recognised.
 func contentOf(request *slatewindv1.RunRequest) quarantine.Content {
 	return quarantine.Content{
 		Workspace: request.GetCustomer(), Method: request.GetMethod(), Host: request.GetHost(), Target: request.GetTarget(), Body: request.GetBody(),
 	}
 }
 
-// quarantined returns why the request must not be given to the server, or nil.
-func (r *run) quarantined(now time.Time) *refusal {
+// checkQuarantine returns why the request must not be sent to the server, or nil.
+func (r *run) checkQuarantine(now time.Time) *refusal {
 	verdict := r.sidecar.suspects.Begin(now, r.digest, quarantine.Turn{})
 	r.trial = verdict.Trial
 	if !verdict.Refused {
@@ -27,18 +28,19 @@
 	return &refusal{reason: verdict.Reason(r.digest()), retryAfter: verdict.TrialIn}
 }
 
-// noteEnd notes whether the server ended under the request, whose run failed.
-func (r *run) noteEnd(ctx context.Context, started bool, err error) {
+// recordCrash records whether the server crashed while it ran the request, after
+// the run failed.
+func (r *run) recordCrash(ctx context.Context, started bool, err error) {
 	now := time.Now()
 	at := crash.Run{Digest: r.digest(), Trial: r.trial, Began: r.began, Sent: started}
 	if ctx.Err() != nil {
-		r.door.crashes.Abandoned(now, at)
+		r.server.crashes.Abandoned(now, at)
 		return
 	}
-	end, ok := r.door.crashes.Failed(at, err)
+	end, ok := r.server.crashes.Failed(at, err)
 	if !ok {
 		return
 	}
-	r.sidecar.journal.Add(end.Decision(now, slatewind.Decision{Service: r.door.service, Server: r.door.name}))
+	r.sidecar.journal.Add(end.Decision(now, slatewind.Decision{Service: r.server.service, Server: r.server.name}))
 	r.sidecar.suspects.ServerCrashed(now, end)
 }
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -13,8 +13,9 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// TestRequestThatEndsServers: what two servers ended under is proved not to have run at the third
-// time, with and without a key, and others are served on.
+// TestRequestThatEndsServers checks that a request during which the server crashed
+// twice is refused as not run the third time, with and without a key, and that
+// other requests are still served.
 func TestRequestThatEndsServers(t *testing.T) {
 	deadly := func(f *fixture, key string) *slatewindv1.RunRequest {
 		r := f.request(key, slatewind.ClaimFirst)
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -19,38 +19,40 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// chunkBytes is the size of the parts in which an answer travels.
+// chunkBytes is the maximum size of one chunk of an answer.
 const chunkBytes = 64 << 10
 
-// heldBytes is how much of an answer is read before its head is sent, so that
-// an answer that breaks off early is a plain failure and not half an answer.
-const heldBytes = 1 << 20
+// bufferedBytes is how much of an answer is read before its head is sent, so that
+// an answer that breaks off within it is reported as a failure instead of a
+// truncated answer.
+const bufferedBytes = 1 << 20
 
-// defaultRetryAfter is told where nothing better is known.
+// defaultRetryAfter is used where no better value is known.
 const defaultRetryAfter = time.Second
 
-// Send hands one part of a reply to the ingress.
+// Send sends one part of a reply to the ingress.
 type Send func(*slatewindv1.RunReply) error
 
-// run is one attempt on its way through the sidecar.
+// run is one attempt being handled by the sidecar.
 type run struct {
 	sidecar  *Sidecar
-	door     *door
+	server   *localServer
 	request  *slatewindv1.RunRequest
 	send     Send
 	deadline time.Time
 	item     admission.Item
-	// record is set while a record of a once-request is running for it.
+	// record is the once-record that is running for the attempt, or nil.
 	record *once.ID
-	// digest stands for the request, trial says that it is one of a request under which servers
-	// ended, began is when the server could first see it.
+	// digest identifies the request for the quarantine. trial reports that the
+	// attempt is a trial of a quarantined request. began is when the server could
+	// first receive the request.
 	digest func() quarantine.Digest
 	trial  bool
 	began  time.Time
 }
 
-// Run takes one attempt through all checks to the server and back. The error,
-// if any, concerns only the sending of the reply.
+// Run checks one attempt, runs it at the server and sends the reply. An error
+// means only that the reply could not be sent completely.
 func (s *Sidecar) Run(ctx context.Context, request *slatewindv1.RunRequest, send Send) error {
 	now := time.Now()
 	r := &run{
@@ -60,20 +62,21 @@
 		deadline: now.Add(time.Duration(request.GetRemainingNanos())),
 		digest:   sync.OnceValue(contentOf(request).Digest),
 	}
-	r.door = s.door(request.GetServer())
-	if r.door == nil {
-		return r.refuse(&refusal{reason: "the server is not one of this VM's"})
+	r.server = s.server(request.GetServer())
+	if r.server == nil {
+		return r.refuse(&refusal{reason: "the server does not belong to this VM"})
 	}
-	switch refused := r.door.admit(now, request.GetAttemptId(), request.GetIncarnation()); refused {
+	switch refused := r.server.admit(now, request.GetAttemptId(), request.GetIncarnation()); refused {
 	case attempt.Admitted:
 	case attempt.RefusedDouble:
 		return r.sendOutcome(slatewind.OutcomeUnknown, string(refused), 0)
 	case attempt.RefusedStale:
-		// The ingress addresses the attempt anew, so its key stays free.
+		// The ingress sends the attempt again with the current incarnation, so its
+		// key must not be revoked.
 		return r.refuse(&refusal{reason: string(refused)})
 	default:
 		if request.GetOnce() != nil {
-			s.settleUnstarted(onceRequest(r.door, request.GetOnce()))
+			s.settleUnstarted(onceRequest(r.server, request.GetOnce()))
 		}
 		return r.refuse(&refusal{reason: string(refused)})
 	}
@@ -85,30 +88,30 @@
 	return r.runOnce(ctx)
 }
 
-// runOnce asks the records first.
+// runOnce runs an attempt of a once-request as its record allows.
 func (r *run) runOnce(ctx context.Context) error {
-	id := onceRequest(r.door, r.request.GetOnce())
+	id := onceRequest(r.server, r.request.GetOnce())
 	id.Attempt = r.request.GetAttemptId()
 	for {
 		verdict, ended := r.sidecar.beginOnce(id)
 		switch verdict.Action {
 		case once.ActionRun:
 			r.record = &id.ID
-			// The record, not the ingress, owns the run: its answer is kept
-			// for retries even if this ingress goes away.
+			// The run continues if the ingress disconnects, since its answer is kept
+			// in the record for retries.
 			return r.runInSlot(context.WithoutCancel(ctx))
 		case once.ActionReplay:
-			r.door.refuseAttempt(r.request.GetAttemptId())
+			r.server.refuseAttempt(r.request.GetAttemptId())
 			return r.replay(verdict.Answer)
 		case once.ActionJoin:
 			select {
 			case <-ended:
 			case <-ctx.Done():
-				r.door.refuseAttempt(r.request.GetAttemptId())
+				r.server.refuseAttempt(r.request.GetAttemptId())
 				return r.sendOutcome(slatewind.OutcomeUnknown, "the request is still running", 0)
 			}
 		default:
-			r.door.refuseAttempt(r.request.GetAttemptId())
+			r.server.refuseAttempt(r.request.GetAttemptId())
 			return r.sendVerdict(verdict)
 		}
 	}
@@ -124,8 +127,8 @@
 	return r.sendOutcome(slatewind.OutcomeUnknown, v.Reason, 0)
 }
 
-// beginOnce returns the verdict on a once-request and, where it is running,
-// what is closed at its end.
+// beginOnce returns the verdict on a once-request and, if the request is running,
+// a channel that is closed at its end.
 func (s *Sidecar) beginOnce(request once.Request) (once.Verdict, <-chan struct{}) {
 	s.onceMu.Lock()
 	defer s.onceMu.Unlock()
@@ -136,8 +139,9 @@
 	return verdict, s.waiting[request.ID]
 }
 
-// endOnce changes a record that is running for an attempt and wakes those who
-// joined it. It does nothing if the record is no longer the attempt's.
+// endOnce applies change to a record that is running for an attempt and wakes the
+// attempts that joined it. It does nothing if the record no longer runs for the
+// attempt.
 func (s *Sidecar) endOnce(id once.ID, attemptID string, change func(*once.Store, once.ID)) {
 	s.onceMu.Lock()
 	defer s.onceMu.Unlock()
@@ -165,25 +169,25 @@
 	defer cancel()
 	stop := cancel
 	if r.record != nil {
-		// Breaking off a once-request gains nothing: it counts as run.
+		// Aborting a once-request gains nothing: it counts as run.
 		stop = nil
 	}
-	if refused := r.quarantined(time.Now()); refused != nil {
-		r.door.release(time.Now(), r.item)
+	if refused := r.checkQuarantine(time.Now()); refused != nil {
+		r.server.release(time.Now(), r.item)
 		r.revoke()
 		return r.refuse(refused)
 	}
-	if refused := r.door.begin(time.Now(), r.item.ID, outlier.Class(r.request.GetRoute()), r.deadline, stop); refused != nil {
-		r.door.release(time.Now(), r.item)
+	if refused := r.server.begin(time.Now(), r.item.ID, outlier.Class(r.request.GetRoute()), r.deadline, stop); refused != nil {
+		r.server.release(time.Now(), r.item)
 		r.revoke()
 		return r.refuse(refused)
 	}
 	return r.callServer(ctx)
 }
 
-// waitForSlot returns nil when the attempt has a slot.
+// waitForSlot waits for a slot; it returns nil if the attempt was granted one.
 func (r *run) waitForSlot(ctx context.Context) *refusal {
-	decision := r.door.offer(time.Now(), r.item)
+	decision := r.server.offer(time.Now(), r.item)
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	select {
@@ -191,8 +195,8 @@
 		return asRefusal(d)
 	case <-ctx.Done():
 	}
-	if r.door.abandon(r.item.ID) {
-		return &refusal{reason: "given up while it waited for a slot", retryAfter: defaultRetryAfter}
+	if r.server.abandon(r.item.ID) {
+		return &refusal{reason: "timed out or cancelled while waiting for a slot", retryAfter: defaultRetryAfter}
 	}
 	return asRefusal(<-decision)
 }
@@ -204,20 +208,21 @@
 	return &refusal{reason: d.Reason, retryAfter: d.RetryAfter}
 }
 
-// callServer runs a started attempt at the server.
+// callServer sends a started attempt to the server and returns its answer to the
+// ingress.
 func (r *run) callServer(ctx context.Context) error {
 	r.began = time.Now()
-	answer, started, err := r.sidecar.caller.Call(ctx, r.door.serverAddress(), r.request)
+	answer, started, err := r.sidecar.caller.Call(ctx, r.server.serverAddress(), r.request)
 	if err != nil {
-		return r.fail(ctx, started, err)
+		return r.finishWithoutAnswer(ctx, started, err)
 	}
 	defer answer.Close()
 	if answer.Draining {
-		r.door.leave(drainReason)
+		r.server.leave(drainReason)
 	}
-	body, whole, err := answer.ReadUpTo(heldBytes)
+	body, whole, err := answer.ReadUpTo(bufferedBytes)
 	if err != nil {
-		return r.fail(ctx, true, err)
+		return r.finishWithoutAnswer(ctx, true, err)
 	}
 	if !whole {
 		return r.stream(ctx, answer, body)
@@ -227,19 +232,19 @@
 	return r.sendAnswer(kept, false)
 }
 
-// fail ends an attempt that has no whole answer.
-func (r *run) fail(ctx context.Context, started bool, err error) error {
-	r.door.end(time.Now(), r.item, failureResult(ctx))
-	r.noteEnd(ctx, started, err)
+// finishWithoutAnswer ends an attempt without a complete answer.
+func (r *run) finishWithoutAnswer(ctx context.Context, started bool, err error) error {
+	r.server.end(time.Now(), r.item, failureResult(ctx))
+	r.recordCrash(ctx, started, err)
 	if !started {
 		r.revoke()
 		return r.sendOutcome(slatewind.OutcomeNotRun, "the server cannot be reached: "+err.Error(), defaultRetryAfter)
 	}
-	r.lose()
-	return r.sendOutcome(slatewind.OutcomeUnknown, "the server gave no whole answer: "+err.Error(), 0)
+	r.recordLost()
+	return r.sendOutcome(slatewind.OutcomeUnknown, "the server gave no complete answer: "+err.Error(), 0)
 }
 
-// failureResult tells a request that was given up from a server's failure.
+// failureResult distinguishes a cancelled request from a failure of the server.
 func failureResult(ctx context.Context) slatewind.Result {
 	if ctx.Err() != nil {
 		return slatewind.ResultCancelled
@@ -247,9 +252,9 @@
 	return slatewind.ResultError
 }
 
-// finish ends an attempt with a whole answer.
+// finish ends an attempt with a complete answer.
 func (r *run) finish(answer *slatewind.Answer) {
-	r.door.end(time.Now(), r.item, resultOf(answer.Status))
+	r.server.end(time.Now(), r.item, resultOf(answer.Status))
 	r.sidecar.suspects.Answered(time.Now(), r.digest())
 	r.endRecord(func(records *once.Store, id once.ID) { records.Finish(time.Now(), id, answer) })
 }
@@ -266,11 +271,11 @@
 	r.endRecord(func(records *once.Store, id once.ID) { records.Revoke(time.Now(), id, claim) })
 }
 
-func (r *run) lose() {
+func (r *run) recordLost() {
 	r.endRecord(func(records *once.Store, id once.ID) { records.Lose(time.Now(), id) })
 }
 
-// endRecord changes the record that is running for this attempt, if any.
+// endRecord applies change to the record that is running for this attempt, if any.
 func (r *run) endRecord(change func(*once.Store, once.ID)) {
 	if r.record != nil {
 		r.sidecar.endOnce(*r.record, r.request.GetAttemptId(), change)
@@ -281,15 +286,15 @@
 	return r.sendOutcome(slatewind.OutcomeNotRun, refused.reason, refused.retryAfter)
 }
 
-// head returns the head of a reply with what every reply tells.
+// head returns the head of a reply with the fields common to all replies.
 func (r *run) head(outcome slatewind.Outcome) *slatewindv1.RunHead {
 	head := &slatewindv1.RunHead{
 		AttemptId: r.request.GetAttemptId(),
 		Outcome:   string(outcome),
 		Version:   r.sidecar.store.Version().ToAPI(),
 	}
-	if r.door != nil {
-		head.Incarnation = r.door.incarnation()
+	if r.server != nil {
+		head.Incarnation = r.server.incarnation()
 	}
 	return head
 }
@@ -314,7 +319,7 @@
 	return r.sendParts(head, answer.Body)
 }
 
-// sendParts sends a whole reply: head, chunks and end.
+// sendParts sends a complete reply: head, chunks and end.
 func (r *run) sendParts(head *slatewindv1.RunHead, body []byte) error {
 	if err := r.sendHead(head); err != nil {
 		return err
@@ -332,24 +337,24 @@
 
 func (r *run) sendEnd(w *chunkWriter) error {
 	end := &slatewindv1.RunEnd{AttemptId: r.request.GetAttemptId(), Length: w.length, Checksum: w.sum.Sum64()}
-	if r.door != nil {
-		end.Digest = r.door.digest(r.sidecar.spend())
-		// The ingress knows whom it asked.
+	if r.server != nil {
+		end.Digest = r.server.digest(r.sidecar.allowOutcomes())
+		// The ingress knows the service and the server, so they are not sent.
 		end.Digest.Service, end.Digest.Server = "", ""
 	}
 	return r.send(&slatewindv1.RunReply{Part: &slatewindv1.RunReply_End{End: end}})
 }
 
-// stream passes a long answer on while it comes. An answer that breaks off gets
-// no end, so that nobody takes it for whole. A once-request with so long an
-// answer is remembered as having run, without the answer.
+// stream forwards a long answer while it is received. If the answer breaks off,
+// no end is sent, so that it cannot pass for a complete one. A once-request with
+// such a long answer is recorded as having run, without the answer.
 func (r *run) stream(ctx context.Context, answer *ServerAnswer, first []byte) error {
 	head := r.head(slatewind.OutcomeAnswer)
 	head.Status = int32(answer.Status)
 	head.Headers = apiHeaders(answer.Headers)
 	if err := r.sendHead(head); err != nil {
-		r.breakOff(ctx)
-		return errors.Join(errBrokenOff, err)
+		r.finishTruncated(ctx)
+		return errors.Join(errTruncated, err)
 	}
 	w := newChunkWriter(r.send)
 	_, err := w.Write(first)
@@ -357,20 +362,20 @@
 		_, err = io.Copy(w, answer.body)
 	}
 	if err != nil {
-		r.breakOff(ctx)
-		return errors.Join(errBrokenOff, err)
+		r.finishTruncated(ctx)
+		return errors.Join(errTruncated, err)
 	}
 	r.finish(&slatewind.Answer{Status: answer.Status, Headers: answer.Headers, BodyOmitted: true})
 	return r.sendEnd(w)
 }
 
-// breakOff ends an attempt whose answer broke off after its head was sent.
-func (r *run) breakOff(ctx context.Context) {
-	r.door.end(time.Now(), r.item, failureResult(ctx))
-	r.lose()
+// finishTruncated ends an attempt whose answer broke off after its head was sent.
+func (r *run) finishTruncated(ctx context.Context) {
+	r.server.end(time.Now(), r.item, failureResult(ctx))
+	r.recordLost()
 }
 
-// chunkWriter sends what is written to it as chunks and keeps their checksum.
+// chunkWriter sends the data written to it as chunks and maintains their checksum.
 type chunkWriter struct {
 	send   Send
 	sum    *xxhash.Digest
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,9 +1,9 @@
-// Package sidecar stands in front of the servers of its own VM.
+// Package sidecar is the proxy in front of the servers of its own VM.
 //
-// Everything that the fleet sends to a server passes here, and only the sidecar
-// connects to the server. So it counts the slots exactly, keeps few warm
-// connections, probes once for all ingresses, sees every outcome, and knows for
-// certain whether a request was started.
+// All requests of the fleet to a server pass through its sidecar, and only the
+// sidecar connects to the server. It can therefore count the slots in use
+// exactly, keep few idle connections, probe once for all ingresses, observe
+// every outcome, and determine reliably whether a request was started.
 package sidecar
 
 import (
@@ -22,12 +22,13 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// tickInterval is how often queues, overdue requests and epochs are looked at.
+// tickInterval is the interval between checks of queues, overdue requests and
+// epochs.
 const tickInterval = 100 * time.Millisecond
 
-// awakeBound is how long after the last tick the sidecar still trusts that it
-// was not paused.
-const awakeBound = time.Second
+// pauseThreshold is the time since the last tick above which the process is
+// assumed to have been paused.
+const pauseThreshold = time.Second
 
 // Limits bounds the memory of a sidecar; zero means the default.
 type Limits struct {
@@ -36,7 +37,7 @@
 	Attempts        int
 }
 
-// Sidecar is the host of the doors of one VM's servers.
+// Sidecar holds the state of the servers of one VM and runs attempts at them.
 type Sidecar struct {
 	vm          string
 	incarnation uint64
@@ -44,18 +45,21 @@
 	store       *config.Store
 	journal     slatewind.Journal
 	caller      ServerCaller
-	// suspects are requests under which servers ended.
+	// suspects holds the requests during which servers crashed.
 	suspects *quarantine.Table
 
+	// outcomes limits the replies that carry outcomes.
 	outcomes *rate.Limiter
 
+	// mu guards servers and leaving. It is locked before the mutex of a server.
 	mu      sync.RWMutex
-	doors   map[string]*door
+	servers map[string]*localServer
 	leaving string
 
+	// onceMu guards records and waiting.
 	onceMu  sync.Mutex
 	records *once.Store
-	// waiting holds, by record, what is closed when a running one ends.
+	// waiting holds, for each running record, a channel that is closed at its end.
 	waiting map[once.ID]chan struct{}
 }
 
@@ -64,13 +68,13 @@
 	// Call returns the server's answer. started is false only if the server
 	// cannot have seen the request.
 	Call(ctx context.Context, address string, request *slatewindv1.RunRequest) (answer *ServerAnswer, started bool, err error)
-	// Probe asks a server for its health.
+	// Probe checks a server's health and reports whether it is draining.
 	Probe(ctx context.Context, address, path string) (draining bool, err error)
-	// Reach returns an error where no connection to the server can be opened.
+	// Reach returns an error if no connection to the server can be opened.
 	Reach(ctx context.Context, address string) error
 }
 
-// New returns a sidecar without servers; Update brings them.
+// New returns a sidecar without servers; Update adds them.
 func New(vm string, incarnation uint64, limits Limits, store *config.Store, journal slatewind.Journal, caller ServerCaller, suspects *quarantine.Table) *Sidecar {
 	return &Sidecar{
 		vm:          vm,
@@ -81,19 +85,19 @@
 		caller:      caller,
 		suspects:    suspects,
 		outcomes:    rate.NewLimiter(OutcomeReplies, OutcomeBurst),
-		doors:       map[string]*door{},
+		servers:     map[string]*localServer{},
 		records:     once.NewStore(time.Now(), limits.OnceRecords, limits.OnceAnswerBytes),
 		waiting:     map[once.ID]chan struct{}{},
 	}
 }
 
-// Start begins the ticks, which end with ctx.
+// Start begins the periodic checks and probes, which end with ctx.
 func (s *Sidecar) Start(ctx context.Context, timers *timer.Service) {
 	timers.Subscribe(ctx, tickInterval, func(t timer.Tick) { s.tick(t.Now) })
 	timers.Subscribe(ctx, probeTick, func(t timer.Tick) { s.probeDue(ctx, t.Now) })
 }
 
-// Update takes new settings: the VM's servers and the owners of the keys.
+// Update applies new settings: the VM's servers and the owners of the keys.
 func (s *Sidecar) Update(now time.Time, snapshot *config.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,35 +108,35 @@
 				continue
 			}
 			present[server.GetName()] = true
-			s.updateDoor(now, service, server)
+			s.updateServer(now, service, server)
 			s.onceMu.Lock()
 			s.records.SetOwners(now, service.GetName(), snapshot.Owners[service.GetName()])
 			s.onceMu.Unlock()
 		}
 	}
-	for name, d := range s.doors {
+	for name, ls := range s.servers {
 		if !present[name] {
-			d.leave("the settings no longer have the server")
-			delete(s.doors, name)
+			ls.leave("the server was removed from the settings")
+			delete(s.servers, name)
 		}
 	}
 }
 
-func (s *Sidecar) updateDoor(now time.Time, service *slatewindv1.Service, server *slatewindv1.Server) {
-	d := s.doors[server.GetName()]
-	if d == nil {
-		d = newDoor(now, service.GetName(), server, s.incarnation, s.limits.Attempts)
-		d.crashes = crash.New(func(ctx context.Context) error { return s.caller.Reach(ctx, d.serverAddress()) }, d.isLeaving)
+func (s *Sidecar) updateServer(now time.Time, service *slatewindv1.Service, server *slatewindv1.Server) {
+	ls := s.servers[server.GetName()]
+	if ls == nil {
+		ls = newLocalServer(now, service.GetName(), server, s.incarnation, s.limits.Attempts)
+		ls.crashes = crash.New(func(ctx context.Context) error { return s.caller.Reach(ctx, ls.serverAddress()) }, ls.isLeaving)
 		if s.leaving != "" {
-			d.leave(s.leaving)
+			ls.leave(s.leaving)
 		}
-		s.doors[server.GetName()] = d
+		s.servers[server.GetName()] = ls
 	}
-	d.update(service, server)
+	ls.update(service, server)
 }
 
-// Leave begins the drain: from now on new work is refused as not run, waiting
-// work too, and what runs goes on.
+// Leave begins the drain: new and queued requests are refused as not run, and
+// running ones are completed.
 func (s *Sidecar) Leave(now time.Time, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,113 +144,115 @@
 		return
 	}
 	s.leaving = reason
-	s.journal.Add(slatewind.Decision{Time: now, Kind: slatewind.DecisionLeaving, Reason: "the VM takes no new work: " + reason})
-	for _, d := range s.doors {
-		d.leave(reason)
+	s.journal.Add(slatewind.Decision{Time: now, Kind: slatewind.DecisionLeaving, Reason: "the VM accepts no new work: " + reason})
+	for _, ls := range s.servers {
+		ls.leave(reason)
 	}
 }
 
-// Leaving reports whether the VM takes no new work.
+// Leaving reports whether the VM accepts no new work.
 func (s *Sidecar) Leaving() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.leaving != ""
 }
 
-// Running returns how many requests the VM's servers have in hand.
+// Running returns how many requests are running at the VM's servers.
 func (s *Sidecar) Running() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	n := 0
-	for _, d := range s.doors {
-		n += d.inUse()
+	for _, ls := range s.servers {
+		n += ls.inUse()
 	}
 	return n
 }
 
-// Digests returns what gossip tells of the VM's servers, with or without their
-// newest outcomes.
+// Digests returns the digests of the VM's servers for gossip, with or without
+// their latest outcomes.
 func (s *Sidecar) Digests(outcomes bool) []*slatewindv1.Digest {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	digests := make([]*slatewindv1.Digest, 0, len(s.doors))
-	for _, d := range s.doors {
-		digests = append(digests, d.digest(outcomes))
+	digests := make([]*slatewindv1.Digest, 0, len(s.servers))
+	for _, ls := range s.servers {
+		digests = append(digests, ls.digest(outcomes))
 	}
 	return digests
 }
 
-// Outcomes with replies are bounded for all servers of a VM together: 128 bytes
-// each, so 8 KB a second. What is left out of one reply comes with a later one.
+// Limits of the outcomes sent with replies, for all servers of a VM together. The
+// outcomes of one reply take 128 bytes, so the limit is 8 KB per second. Outcomes
+// left out of one reply are sent with a later one.
 const (
-	// OutcomeReplies is how many replies a second carry outcomes.
+	// OutcomeReplies is the number of replies per second that carry outcomes.
 	OutcomeReplies = 64
-	// OutcomeBurst is how many of them may come at once.
+	// OutcomeBurst is the burst of such replies.
 	OutcomeBurst = 64
 )
 
-// spend reports whether a reply may carry outcomes.
-func (s *Sidecar) spend() bool {
+// allowOutcomes reports whether the next reply may carry outcomes, and counts it
+// against the limit.
+func (s *Sidecar) allowOutcomes() bool {
 	return s.outcomes.Allow()
 }
 
-func (s *Sidecar) door(name string) *door {
+func (s *Sidecar) server(name string) *localServer {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.doors[name]
+	return s.servers[name]
 }
 
 func (s *Sidecar) tick(now time.Time) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, d := range s.doors {
-		d.tick(now)
+	for _, ls := range s.servers {
+		ls.tick(now)
 	}
 }
 
-// Cancel answers an ingress that wants an attempt not to be started.
+// Cancel handles an ingress's request not to start an attempt.
 func (s *Sidecar) Cancel(_ context.Context, request *slatewindv1.CancelRequest) (*slatewindv1.CancelReply, error) {
 	reply := &slatewindv1.CancelReply{AttemptId: request.GetAttemptId(), State: string(slatewind.CancelUnknown)}
-	d := s.door(request.GetServer())
-	if d == nil {
+	ls := s.server(request.GetServer())
+	if ls == nil {
 		return reply, nil
 	}
-	state := d.cancel(time.Now(), request.GetAttemptId(), request.GetIncarnation())
+	state := ls.cancel(time.Now(), request.GetAttemptId(), request.GetIncarnation())
 	if state == slatewind.CancelNotStarted && request.GetOnce() != nil {
-		state = s.cancelOnce(d, request)
+		state = s.cancelOnce(ls, request)
 	}
 	reply.State = string(state)
-	reply.Digest = d.digest(s.spend())
+	reply.Digest = ls.digest(s.allowOutcomes())
 	return reply, nil
 }
 
-// cancelOnce settles the record of an attempt that will not start. Where the
-// record runs for the attempt, or a first attempt never arrived, it is revoked,
-// which is the proof for later retries; where another attempt runs or ran it,
-// the request as a whole counts as started.
-func (s *Sidecar) cancelOnce(d *door, request *slatewindv1.CancelRequest) slatewind.CancelState {
-	r := onceRequest(d, request.GetOnce())
+// cancelOnce updates the record of an attempt that will not start. If the record
+// is running for the attempt, or a first attempt never arrived, the record is
+// revoked, which is the proof for later retries. If another attempt is running
+// the request or has run it, the request as a whole counts as started.
+func (s *Sidecar) cancelOnce(ls *localServer, request *slatewindv1.CancelRequest) slatewind.CancelState {
+	r := onceRequest(ls, request.GetOnce())
 	s.endOnce(r.ID, request.GetAttemptId(), func(records *once.Store, id once.ID) {
 		records.Revoke(time.Now(), id, r.Claim)
 	})
 	return s.settleUnstarted(r)
 }
 
-// settleUnstarted settles the record of an attempt that will not start.
+// settleUnstarted updates the record of an attempt that will not start.
 func (s *Sidecar) settleUnstarted(r once.Request) slatewind.CancelState {
 	s.onceMu.Lock()
 	defer s.onceMu.Unlock()
 	return s.records.Cancelled(time.Now(), r)
 }
 
-// Seal answers an ingress that asks what became of a once-request.
+// Seal seals the key of a once-request and returns the state of its record.
 func (s *Sidecar) Seal(_ context.Context, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
-	d := s.door(request.GetServer())
-	if d == nil {
+	ls := s.server(request.GetServer())
+	if ls == nil {
 		return &slatewindv1.SealReply{OwnersDiffer: true}, nil
 	}
 	s.onceMu.Lock()
-	reply := s.records.Seal(time.Now(), onceRequest(d, request.GetOnce()))
+	reply := s.records.Seal(time.Now(), onceRequest(ls, request.GetOnce()))
 	s.onceMu.Unlock()
 	return &slatewindv1.SealReply{
 		State:           string(reply.State),
@@ -256,9 +262,9 @@
 	}, nil
 }
 
-func onceRequest(d *door, o *slatewindv1.Once) once.Request {
+func onceRequest(ls *localServer, o *slatewindv1.Once) once.Request {
 	return once.Request{
-		ID:          once.ID{Service: d.service, Server: d.name, Key: o.GetKey()},
+		ID:          once.ID{Service: ls.service, Server: ls.name, Key: o.GetKey()},
 		Fingerprint: o.GetFingerprint(),
 		Claim:       slatewind.Claim(o.GetClaim()),
 		KeyBorn:     time.Unix(0, o.GetKeyBornUnixNanos()),
@@ -283,8 +289,8 @@
 	s.onceMu.Lock()
 	v.OnceRecords, v.AnswerBytes = s.records.Len()
 	s.onceMu.Unlock()
-	for _, d := range s.doors {
-		v.Servers = append(v.Servers, d.view())
+	for _, ls := range s.servers {
+		v.Servers = append(v.Servers, ls.view())
 	}
 	return v
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -31,7 +31,7 @@
 
 const incarnation = 1<<24 | 1
 
-// fixture is a sidecar before one real stand-in server.
+// fixture is a sidecar in front of one stand-in server.
 type fixture struct {
 	t       *testing.T
 	sidecar *sidecar.Sidecar
@@ -89,7 +89,7 @@
 	return r
 }
 
-// run sends an attempt and puts its reply together.
+// run sends an attempt and assembles its reply.
 func (f *fixture) run(r *slatewindv1.RunRequest) (*link.Reply, error) {
 	var parts []*slatewindv1.RunReply
 	sent := f.sidecar.Run(f.t.Context(), r, func(part *slatewindv1.RunReply) error {
@@ -116,9 +116,10 @@
 	return slatewind.Outcome(reply.Head.GetOutcome())
 }
 
-// TestOnceIsNotRepeatedByTheHTTPClient: a server closes a kept connection after
-// it ran the request. An HTTP client may send a request with an idempotency key
-// again by itself; the sidecar's must not.
+// TestOnceIsNotRepeatedByTheHTTPClient guards against a second run of a
+// once-request when the server closes a kept-alive connection after running it.
+// Go's HTTP client resends a request with an idempotency key by itself in this
+// case; the sidecar's client must not.
 func TestOnceIsNotRepeatedByTheHTTPClient(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	assert.Equal(t, f.outcome(f.request("warm", slatewind.ClaimFirst)), slatewind.OutcomeAnswer)
@@ -130,13 +131,14 @@
 	}
 }
 
-// TestAnswersAreWholeOrPlainFailures brings each fault of a server that could
-// make an answer look like something that it is not.
-func TestAnswersAreWholeOrPlainFailures(t *testing.T) {
+// TestAnswersAreCompleteOrFailures checks that a truncated, foreign or missing
+// answer of a server is never reported as a complete answer.
+func TestAnswersAreCompleteOrFailures(t *testing.T) {
 	tests := map[string]struct {
 		fault standin.Fault
 		pad   int
-		// outcome is what the ingress is told; empty: the reply has no end.
+		// outcome is the outcome reported to the ingress; empty if the reply has no
+		// end.
 		outcome slatewind.Outcome
 	}{
 		"whole":           {outcome: slatewind.OutcomeAnswer},
@@ -166,7 +168,8 @@
 	}
 }
 
-// orAnswer: a reply that breaks off began as an answer.
+// orAnswer returns OutcomeAnswer for the empty outcome, since the head of a reply
+// that breaks off later reports an answer.
 func orAnswer(outcome slatewind.Outcome) slatewind.Outcome {
 	if outcome == "" {
 		return slatewind.OutcomeAnswer
@@ -174,7 +177,7 @@
 	return outcome
 }
 
-// readRest reads the rest of a long reply; whole says that it had its end.
+// readRest reads the rest of a long reply; whole reports that its end was received.
 func readRest(reply *link.Reply, err error) (body string, whole bool) {
 	if err != nil {
 		return "", false
@@ -193,8 +196,8 @@
 	return body, true
 }
 
-// TestRefusalsProveThatNothingRan: each way of refusing an attempt, and that the
-// server saw none of it.
+// TestRefusalsProveThatNothingRan checks for each way of refusing an attempt that
+// the server did not receive the request.
 func TestRefusalsProveThatNothingRan(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(*fixture, *slatewindv1.RunRequest)
@@ -254,8 +257,8 @@
 	}
 }
 
-// TestKeyWithAnotherBodyIsRefused: the same key must not bring another request
-// the answer of the first.
+// TestKeyWithAnotherBodyIsRefused checks that another request with the same key
+// does not get the stored answer of the first one.
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	assert.Equal(t, f.outcome(f.request("key", slatewind.ClaimFirst)), slatewind.OutcomeAnswer)
@@ -265,8 +268,8 @@
 	assert.Equal(t, f.server.Runs()["key"], 1)
 }
 
-// TestRetriesJoinAndReplay: many attempts at one key at the same time get one
-// run and the same answer.
+// TestRetriesJoinAndReplay checks that concurrent attempts for one key cause one
+// run and get the same answer.
 func TestRetriesJoinAndReplay(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	requests := make([]*slatewindv1.RunRequest, 10)
@@ -289,9 +292,10 @@
 	}
 }
 
-// TestStaleAddressLeavesTheKeyFree: an ingress that did not know the sidecar's
-// incarnation addresses the attempt anew, and it runs.
-func TestStaleAddressLeavesTheKeyFree(t *testing.T) {
+// TestStaleIncarnationLeavesTheKeyFree checks that an attempt refused because of
+// an outdated incarnation does not revoke its key: the ingress sends the attempt
+// again with the current incarnation, and it runs.
+func TestStaleIncarnationLeavesTheKeyFree(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	stale := f.request("key", slatewind.ClaimFirst)
 	stale.Incarnation = 0
@@ -299,9 +303,9 @@
 	assert.Equal(t, f.outcome(f.request("key", slatewind.ClaimFirst)), slatewind.OutcomeAnswer)
 }
 
-// TestDoubleOfAnAttemptIsNotCalledNotRun: of two arrivals of one attempt the
-// second says nothing about the first.
-func TestDoubleOfAnAttemptIsNotCalledNotRun(t *testing.T) {
+// TestDuplicateAttemptIsNotReportedNotRun checks that the second arrival of an
+// attempt is answered as unknown, since the first one may have run.
+func TestDuplicateAttemptIsNotReportedNotRun(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	r := f.request("", "")
 	assert.Equal(t, f.outcome(r), slatewind.OutcomeAnswer)
@@ -309,8 +313,9 @@
 	assert.Equal(t, f.server.Total(), 1)
 }
 
-// TestDrainCutsOffNothing: a drain begins while a request runs and another
-// waits. The running one gets its whole answer; the waiting one is not run.
+// TestDrainCutsOffNothing begins a drain while one request runs and another is
+// queued. The running one gets its complete answer; the queued one is refused as
+// not run.
 func TestDrainCutsOffNothing(t *testing.T) {
 	entered := make(chan struct{})
 	proceed := make(chan struct{})
@@ -336,8 +341,9 @@
 	assert.Equal(t, <-outcomes, slatewind.OutcomeAnswer)
 }
 
-// TestRecordsAreAskedWhileLeaving: a leaving sidecar still knows what it ran.
-func TestRecordsAreAskedWhileLeaving(t *testing.T) {
+// TestRecordsAreUsedWhileLeaving checks that a leaving sidecar still replays the
+// answers of requests that it ran.
+func TestRecordsAreUsedWhileLeaving(t *testing.T) {
 	f := newFixture(t, 5, nil)
 	assert.Equal(t, f.outcome(f.request("key", slatewind.ClaimFirst)), slatewind.OutcomeAnswer)
 	f.sidecar.Leave(time.Now(), "test")
@@ -345,9 +351,9 @@
 	assert.Equal(t, f.server.Runs()["key"], 1)
 }
 
-// TestCallerLeavesOnceRunGoesOn: the ingress goes away while a once-request
-// runs; its answer is kept for the retry.
-func TestCallerLeavesOnceRunGoesOn(t *testing.T) {
+// TestOnceRunContinuesWithoutIngress checks that a once-request continues when the
+// ingress disconnects, and that its answer is kept for the retry.
+func TestOnceRunContinuesWithoutIngress(t *testing.T) {
 	entered := make(chan struct{})
 	proceed := make(chan struct{})
 	f := newFixture(t, 5, func(s *standin.Server) http.Handler {
