--- a/ingress/request.go
+++ b/ingress/request.go
@@ -109,7 +109,7 @@
 	if stop := in.stop.Load(); stop != nil && rq.deadline.After(stop.Finishes()) {
 		// The request would be cut off at the end of the shutdown if its server
 		// used the whole timeout.
-		in.reject(w, id, &rejection{status: http.StatusServiceUnavailable, reason: "the process is shutting down"})
+		in.reject(w, id, &rejection{status: http.StatusServiceUnavailable, reason: "the process stops"})
 		return
 	}
 	if err := in.checkQuarantine(rq); err != nil {
