--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestNotStartedIsTrue delivers, starts, cancels and delays attempts in random
-// order, with pauses and little memory: an attempt that was called not started
-// is never started afterwards, and none starts twice.
+// order, with pauses and a small table. An attempt reported as not started is
+// never started afterwards, and no attempt is started twice.
 func TestNotStartedIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -58,7 +58,7 @@
 			"cancel": func(t *rapid.T) {
 				f := pick(t)
 				if table.Cancel(f.id, f.incarnation) == slatewind.CancelNotStarted {
-					assert.Equal(t, started[f.id], 0, "attempt %s was started and then called not started", f.id)
+					assert.Equal(t, started[f.id], 0, "attempt %s was started and then reported as not started", f.id)
 					denied[f.id] = true
 				}
 			},
@@ -70,14 +70,15 @@
 			"": func(t *rapid.T) {
 				for id, n := range started {
 					assert.Assert(t, n <= 1, "attempt %s started %d times", id, n)
-					assert.Assert(t, !denied[id], "attempt %s started after it was called not started", id)
+					assert.Assert(t, !denied[id], "attempt %s started after it was reported as not started", id)
 				}
 			},
 		})
 	})
 }
 
-// TestMemoryIsBounded: at its bound the table refuses or does not know.
+// TestMemoryIsBounded checks that a full table refuses new attempts and returns
+// CancelUnknown for attempts that are not recorded.
 func TestMemoryIsBounded(t *testing.T) {
 	table := attempt.NewTable(time.Unix(0, 0), 1<<24, 10)
 	for i := range 10 {
--- a/once/chain.go
+++ b/once/chain.go
@@ -6,7 +6,7 @@
 	"slatewind.example/slatewind"
 )
 
-// StepKind is what an ingress does next with a once-request.
+// StepKind is the kind of the next step of an ingress for a once-request.
 type StepKind string
 
 // Steps of a chain.
@@ -15,12 +15,12 @@
 	StepRun StepKind = "run"
 	// StepSeal: seal the key at every candidate, then call Sealed.
 	StepSeal StepKind = "seal"
-	// StepFinal: Outcome is the final answer; for OutcomeAnswer it is the
-	// answer that the last run gave.
+	// StepFinal: Outcome is the final outcome; for OutcomeAnswer, the answer is
+	// that of the last run.
 	StepFinal StepKind = "final"
 )
 
-// Step is the next thing to do.
+// Step is the next step of a chain.
 type Step struct {
 	Kind      StepKind
 	Candidate int
@@ -29,20 +29,20 @@
 	Reason    string
 }
 
-// Ran is what became of an attempt at one candidate.
+// Ran is the result of an attempt at one candidate.
 type Ran string
 
 // Results of an attempt.
 const (
-	// RanAnswer: the candidate gave the server's whole answer.
+	// RanAnswer: the candidate returned the server's complete answer.
 	RanAnswer Ran = "answer"
-	// RanNotWritten: nothing was ever written towards the candidate.
+	// RanNotWritten: nothing was ever sent to the candidate.
 	RanNotWritten Ran = "not-written"
 	// RanRefused: the candidate did not and will not run the attempt, and its
 	// records exclude every earlier run.
 	RanRefused Ran = "refused"
-	// RanCancelled: the candidate did not and will not run the attempt; nothing
-	// is said about earlier ones.
+	// RanCancelled: the candidate did not and will not run the attempt; earlier
+	// attempts may have run.
 	RanCancelled Ran = "cancelled"
 	// RanMismatch: the key belongs to another request.
 	RanMismatch Ran = "mismatch"
@@ -50,17 +50,19 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Chain is the ingress's side of a once-request: which candidate gets it, and
-// when it may go on to the next one. The host does what Step says.
+// Chain decides at the ingress which candidate receives a once-request and when
+// the request may be handed over to the next one. The caller executes the steps
+// returned by Step and reports their results.
 type Chain struct {
 	claim      slatewind.Claim
 	candidates int
 	next       Step
-	// joining: the run asks for a known record, so only its answer counts.
+	// joining reports that the attempt was sent to join a known run, so that only
+	// its answer counts.
 	joining bool
 }
 
-// NewChain returns the chain of a request with so many candidates.
+// NewChain returns the chain of a request with the given number of candidates.
 func NewChain(claim slatewind.Claim, candidates int) *Chain {
 	c := &Chain{claim: claim, candidates: candidates}
 	c.next = Step{Kind: StepRun, Claim: claim}
@@ -70,12 +72,12 @@
 	return c
 }
 
-// Step returns what to do now.
+// Step returns the next step.
 func (c *Chain) Step() Step {
 	return c.next
 }
 
-// Ran takes the result of a StepRun.
+// Ran processes the result of a StepRun.
 func (c *Chain) Ran(result Ran, reason string) {
 	switch result {
 	case RanAnswer:
@@ -89,7 +91,7 @@
 	}
 }
 
-// notRun goes on after a proof that the candidate did not run the attempt.
+// notRun continues after a proof that the candidate did not run the attempt.
 func (c *Chain) notRun(result Ran, reason string) {
 	switch c.claim {
 	case slatewind.ClaimFirst:
@@ -101,7 +103,7 @@
 		}
 		c.finish(slatewind.OutcomeNotRun, reason)
 	default:
-		// Only the home's own refusal says that no earlier attempt ran.
+		// Only a refusal by the home itself proves that no earlier attempt ran.
 		if result == RanRefused {
 			c.finish(slatewind.OutcomeNotRun, reason)
 			return
@@ -119,8 +121,8 @@
 	c.next.Reason = reason
 }
 
-// Sealed takes the replies of a StepSeal, in the order of the candidates, and
-// the time from the first question to the last reply.
+// Sealed processes the replies of a StepSeal, in the order of the candidates. took
+// is the time from the first request to the last reply.
 func (c *Chain) Sealed(replies []SealReply, took time.Duration) {
 	resolution := Resolve(replies, took)
 	switch resolution.Action {
@@ -134,8 +136,8 @@
 	}
 }
 
-// GiveUp ends the chain between two steps, when time is over. Nothing is on
-// its way then, so a first attempt is proved not to have run.
+// GiveUp ends the chain between two steps after a timeout. No attempt is in
+// transit then, so a first attempt provably did not run.
 func (c *Chain) GiveUp(reason string) {
 	if c.claim == slatewind.ClaimFirst {
 		c.finish(slatewind.OutcomeNotRun, reason)
--- a/once/key.go
+++ b/once/key.go
@@ -8,18 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ClockSkew bounds how far the clocks of callers and ingresses lie apart.
+// ClockSkew is the maximum assumed difference between the clocks of callers and
+// ingresses.
 const ClockSkew = 30 * time.Second
 
-// KeyBorn returns the earliest time at which a key that is seen now can have
-// been made: the time in a UUIDv7, else now less the lifetime that the service
-// promises its callers; both less the skew of clocks.
+// KeyBorn returns the earliest time at which a key received now can have been
+// created: the time in a UUIDv7, otherwise now minus the key lifetime that the
+// service promises its callers; in both cases minus ClockSkew. A time in the
+// future by more than ClockSkew is ignored.
 func KeyBorn(now time.Time, key string, lifetime time.Duration) time.Time {
-	made, ok := uuidTime(key)
-	if !ok || made.After(now.Add(ClockSkew)) {
-		made = now.Add(-lifetime)
+	created, ok := uuidTime(key)
+	if !ok || created.After(now.Add(ClockSkew)) {
+		created = now.Add(-lifetime)
 	}
-	return made.Add(-ClockSkew)
+	return created.Add(-ClockSkew)
 }
 
 // uuidTime returns the time in a UUIDv7 (RFC 9562, section 5.7).
@@ -40,7 +42,8 @@
 	return time.UnixMilli(millis), true
 }
 
-// Fingerprint returns a checksum by which the same request is known again.
+// Fingerprint returns a checksum that identifies the request. It is never 0, which
+// stands for an unknown fingerprint.
 func Fingerprint(method, target string, body []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(method)
@@ -59,7 +62,7 @@
 	return xxhash.Sum64String(s)
 }
 
-// mix spreads the bits of x (the finaliser of MurmurHash3).
+// mix is the finaliser of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/once/once.go
+++ b/once/once.go
@@ -1,20 +1,21 @@
-// Package once keeps the records that let a request run at most once by its
-// key.
+// Package once keeps the records by which a request with an idempotency key runs
+// at most once.
 //
-// One rule carries everything: a sidecar runs a once-request only if its own
-// memory, or a proof it was given, excludes every earlier run of it.
+// A sidecar runs a once-request only if its own records, or a proof supplied with
+// the request, exclude every earlier run of it:
 //
-//   - A first attempt is known to be the first, so nothing can have run it. It
-//     may go on to the next candidate after a candidate revoked it.
-//   - A retry runs only where a record says "revoked", at the home of the key,
-//     and only after every candidate was sealed (see Resolve).
-//   - An attempt that does not say its number runs only at the home, and only
-//     if the home's memory reaches back to before the key was made.
+//   - A first attempt cannot have run before. It may be handed over to the next
+//     candidate after a candidate revoked it.
+//   - A retry runs only at the home of the key (its first candidate), only if the
+//     record there is revoked, and only after the key was sealed at every
+//     candidate (see Resolve).
+//   - An attempt without a number runs only at the home, and only if the home's
+//     records reach back to before the key was created.
 //
-// The memory of a sidecar has a cover: the time from which it is complete. A
-// start of the process, a change of the service's servers and an evicted
-// record each move the cover forward, which turns later doubt into "unknown"
-// and never into a second run.
+// The records of a sidecar have a cover: the time from which they are complete.
+// Each start of the process, change of the service's servers and eviction of a
+// record moves the cover forward. Requests that can no longer be decided are then
+// answered as unknown and never run a second time.
 package once
 
 import (
@@ -31,16 +32,16 @@
 	DefaultAnswerBytes = 8 << 20
 )
 
-// maxAnswerBytes is the largest answer that is stored; larger ones are
-// remembered as having run, without the answer.
+// maxAnswerBytes is the size of the largest answer that is stored. Requests with
+// larger ones are recorded as having run, without the answer.
 const maxAnswerBytes = 64 << 10
 
-// minBanAge is how long a revoked or sealed record stays even under pressure:
-// until no attempt sent before it can still arrive. It is two epochs of package
-// attempt.
+// minBanAge is the time for which a revoked or sealed record is kept even if the
+// store is full: until no attempt sent before it can still arrive, which takes two
+// epochs of package attempt.
 const minBanAge = 2 * attempt.Epoch
 
-// ID names one record: the same key at another server is another record.
+// ID identifies a record. Each server has its own record of a key.
 type ID struct {
 	Service string
 	Server  string
@@ -53,14 +54,14 @@
 	// Fingerprint is a checksum of method, target and body.
 	Fingerprint uint64
 	Claim       slatewind.Claim
-	// KeyBorn is the earliest time at which the key can have been made; for
-	// unnumbered claims.
+	// KeyBorn is the earliest time at which the key can have been created; it is
+	// used for unnumbered claims.
 	KeyBorn time.Time
-	// Home says that the server is the first candidate of the key.
+	// Home reports that the server is the first candidate of the key.
 	Home bool
-	// Owners is the digest of the server names by which the home was chosen.
+	// Owners is the digest of the server names from which the home was computed.
 	Owners uint64
-	// Attempt is the id of the attempt that asks.
+	// Attempt is the ID of the attempt that carries the request.
 	Attempt string
 }
 
@@ -69,13 +70,13 @@
 
 // Actions of a sidecar.
 const (
-	// ActionRun: run it, then call Finish, Lose or Revoke.
+	// ActionRun: run the request, then call Finish, Lose or Revoke.
 	ActionRun Action = "run"
-	// ActionJoin: it is running; wait for its end.
+	// ActionJoin: the request is running; wait for its end.
 	ActionJoin Action = "join"
-	// ActionReplay: give the stored answer.
+	// ActionReplay: return the stored answer.
 	ActionReplay Action = "replay"
-	// ActionRefuse: not run; nothing is said about earlier attempts.
+	// ActionRefuse: the attempt is not run; earlier attempts may have run.
 	ActionRefuse Action = "refuse"
 	// ActionUnknown: an earlier attempt may have run.
 	ActionUnknown Action = "unknown"
@@ -83,7 +84,7 @@
 	ActionMismatch Action = "mismatch"
 )
 
-// Verdict is the answer of Begin.
+// Verdict is the result of Begin.
 type Verdict struct {
 	Action Action
 	Reason string
@@ -94,37 +95,38 @@
 type record struct {
 	id          ID
 	fingerprint uint64
-	// attempt is the id of the attempt for which it runs or ran.
+	// attempt is the ID of the attempt for which the request runs or ran.
 	attempt string
 	state   slatewind.RecordState
 	answer  *slatewind.Answer
 	since   time.Time
-	// element is the record's place in the list of its sort.
+	// element is the record's element in list, which is either runs or bans of the
+	// store.
 	element *list.Element
 	list    *list.List
 }
 
-// ban reports whether the record only forbids runs.
+// ban reports whether the record only prevents runs.
 func (r *record) ban() bool {
 	return r.state == slatewind.RecordRevoked || r.state == slatewind.RecordSealed
 }
 
-// cover is the reach of the memory for one service.
+// cover states from which time the records of one service are complete, and for
+// which servers.
 type cover struct {
 	start  time.Time
 	owners uint64
 }
 
-// Store holds the records of one sidecar. It is not safe for use by several
-// goroutines; its host guards it.
+// Store holds the records of one sidecar. It is not safe for concurrent use.
 type Store struct {
 	maxRecords     int
 	maxAnswerBytes int
 	start          time.Time
 	records        map[ID]*record
 	// runs and bans list the records by their last change, oldest first. Bans
-	// (revoked and sealed) may take half of the store, so that retries whose
-	// first attempts are forgotten leave room for new requests.
+	// (revoked and sealed records) may take up half of the store, so that retries
+	// whose first attempts are forgotten leave room for new requests.
 	runs, bans  *list.List
 	answerBytes int
 	covers      map[string]*cover
@@ -149,8 +151,8 @@
 	}
 }
 
-// SetOwners notes the digest of a service's server names now in force. A
-// change moves the cover: keys may have had their home elsewhere before.
+// SetOwners sets the digest of a service's server names. A change moves the
+// cover, since keys may have had another home before.
 func (s *Store) SetOwners(now time.Time, service string, owners uint64) {
 	c := s.covers[service]
 	if c == nil {
@@ -163,7 +165,7 @@
 	}
 }
 
-// Begin decides what to do with a once-request that arrived.
+// Begin decides how to handle a once-request that arrived.
 func (s *Store) Begin(now time.Time, r Request) Verdict {
 	if !s.sameOwners(r) {
 		return s.ownersDiffer(r)
@@ -181,7 +183,8 @@
 	}
 }
 
-// sameOwners reports whether ingress and sidecar name the same servers.
+// sameOwners reports whether ingress and sidecar have the same servers for the
+// service.
 func (s *Store) sameOwners(r Request) bool {
 	c := s.covers[r.ID.Service]
 	return c != nil && c.owners == r.Owners
@@ -200,9 +203,9 @@
 		return Verdict{Action: ActionUnknown, Reason: "an attempt without a number runs only at the home of its key"}
 	}
 	if !s.coverStart(r.ID.Service).Before(r.KeyBorn) {
-		return Verdict{Action: ActionUnknown, Reason: "the memory of the home does not reach back to the making of the key; send Slatewind-Attempt, or a UUIDv7 as key"}
+		return Verdict{Action: ActionUnknown, Reason: "the records of the home do not reach back to the creation of the key; send Slatewind-Attempt, or a UUIDv7 as key"}
 	}
-	return s.run(now, r, "no record since before the key was made")
+	return s.run(now, r, "no record since before the key was created")
 }
 
 func (s *Store) beginKnown(now time.Time, known *record, r Request) Verdict {
@@ -214,7 +217,7 @@
 		return Verdict{Action: ActionJoin, Reason: "the request is running"}
 	case slatewind.RecordDone:
 		if known.answer == nil {
-			return Verdict{Action: ActionUnknown, Reason: "the request ran; its answer was too large to keep"}
+			return Verdict{Action: ActionUnknown, Reason: "the request ran; its answer was too large to store or was evicted"}
 		}
 		return Verdict{Action: ActionReplay, Reason: "the request ran before", Answer: known.answer}
 	case slatewind.RecordLost:
@@ -234,12 +237,12 @@
 	known.fingerprint = r.Fingerprint
 	known.attempt = r.Attempt
 	s.touch(now, known)
-	return Verdict{Action: ActionRun, Reason: "every candidate was sealed and none had run it"}
+	return Verdict{Action: ActionRun, Reason: "the key is sealed at every candidate and none had run the request"}
 }
 
 func (s *Store) run(now time.Time, r Request, reason string) Verdict {
 	if !s.makeRoom(now) {
-		return Verdict{Action: ActionRefuse, Reason: "no memory left for records of once-requests"}
+		return Verdict{Action: ActionRefuse, Reason: "the store of once-records is full"}
 	}
 	s.insert(now, r, slatewind.RecordRunning)
 	return Verdict{Action: ActionRun, Reason: reason}
@@ -260,7 +263,7 @@
 	s.shrinkAnswers()
 }
 
-// Lose notes that a running record was started and its answer lost.
+// Lose records that a running request was started and its answer lost.
 func (s *Store) Lose(now time.Time, id ID) {
 	if known := s.records[id]; known != nil {
 		known.state = slatewind.RecordLost
@@ -268,9 +271,10 @@
 	}
 }
 
-// Revoke notes that a running record was proved not to have been started. A
-// first attempt may now be handed over, so the record stays as revoked; an
-// attempt without a number is only forgotten, for it goes nowhere else.
+// Revoke records that a running request was provably not started. The record of a
+// first attempt or a retry is kept as revoked, since a first attempt may now be
+// handed over; if no more bans fit, it is removed. The record of an attempt
+// without a number is removed, since the attempt is not sent to other candidates.
 func (s *Store) Revoke(now time.Time, id ID, claim slatewind.Claim) {
 	known := s.records[id]
 	if known == nil || known.state != slatewind.RecordRunning {
@@ -288,12 +292,12 @@
 	s.touch(now, known)
 }
 
-// Cancelled settles the record of an attempt that will not start, because it was
-// cancelled or refused before its record was asked: not started if no other
-// attempt has run the request here either. A first attempt leaves a revoked
-// record, the proof for later retries. It leaves none if ingress and sidecar
-// have different settings: the ingress may then hand over to a server that the
-// later retries do not know.
+// Cancelled updates the record of an attempt that will not start because it was
+// cancelled or refused before its record was consulted. It returns
+// CancelNotStarted if no other attempt has run the request here either. A first
+// attempt leaves a revoked record, the proof for later retries. It leaves none if
+// ingress and sidecar have different settings: the ingress may then hand the
+// request over to a server that is not a candidate of the later retries.
 func (s *Store) Cancelled(now time.Time, r Request) slatewind.CancelState {
 	known := s.records[r.ID]
 	if known != nil {
@@ -314,10 +318,11 @@
 	return known != nil && known.state == slatewind.RecordRunning && known.attempt == attempt
 }
 
-// Seal is the answer to an ingress that asks what became of a key. Where no
-// record exists the key is sealed, so that an attempt still on its way is
-// refused from now on. Sealed is less than revoked: it does not say that nothing
-// ran before, or a second retry would take the first one's seal for a proof.
+// Seal returns the state of the record of a key. If there is none, it seals the
+// key, so that an attempt still in transit is refused when it arrives. Unlike a
+// revoked record, a sealed one does not prove that nothing ran before; otherwise
+// a second retry would take the seal of the first one for a proof. If the seal
+// could not be stored, CoverAge is zero.
 func (s *Store) Seal(now time.Time, r Request) SealReply {
 	if !s.sameOwners(r) {
 		return SealReply{OwnersDiffer: true}
@@ -340,7 +345,7 @@
 	return reply
 }
 
-// CoverAge returns how far back the memory for a service is complete.
+// CoverAge returns how far back the records of a service are complete.
 func (s *Store) CoverAge(now time.Time, service string) time.Duration {
 	return now.Sub(s.coverStart(service))
 }
@@ -352,7 +357,7 @@
 	return s.start
 }
 
-// Len returns the number of records and the bytes of stored answers.
+// Len returns the number of records and the size of the stored answers in bytes.
 func (s *Store) Len() (records, answerBytes int) {
 	return len(s.records), s.answerBytes
 }
@@ -365,14 +370,15 @@
 	s.place(r)
 }
 
-// touch notes a change of a record.
+// touch updates the time of a record's last change and moves it to the end of its
+// list.
 func (s *Store) touch(now time.Time, r *record) {
 	r.since = now
 	r.list.Remove(r.element)
 	s.place(r)
 }
 
-// place puts a record at the end of the list of its sort.
+// place appends a record to runs or bans, by its state.
 func (s *Store) place(r *record) {
 	r.list = s.runs
 	if r.ban() {
@@ -381,8 +387,9 @@
 	r.element = r.list.PushBack(r)
 }
 
-// makeRoom evicts the oldest record that may go, if the store is full. What runs
-// never goes, and a ban only when nothing sent before it can still arrive.
+// makeRoom evicts the oldest evictable record if the store is full, and reports
+// whether there is room. Running records are never evicted, and bans only after
+// minBanAge, when no attempt sent before them can still arrive.
 func (s *Store) makeRoom(now time.Time) bool {
 	if len(s.records) < s.maxRecords {
 		return true
@@ -396,12 +403,13 @@
 	return s.evictBan(now)
 }
 
-// makeRoomForBan does the same for a record that only forbids runs.
+// makeRoomForBan does the same for a record that only prevents runs.
 func (s *Store) makeRoomForBan(now time.Time) bool {
 	return s.banAllowed(now) && s.makeRoom(now)
 }
 
-// banAllowed reports whether there may be one more ban.
+// banAllowed reports whether the store may hold one more ban; it evicts the oldest
+// one if needed.
 func (s *Store) banAllowed(now time.Time) bool {
 	return s.bans.Len() < s.maxRecords/2 || s.evictBan(now)
 }
@@ -415,8 +423,8 @@
 	return true
 }
 
-// evict forgets a record. The cover moves past it, since its absence proves
-// nothing now.
+// evict removes a record and moves the cover past its last change, since the
+// absence of a record no longer proves that its request did not run.
 func (s *Store) evict(r *record) {
 	s.moveCover(r.since, r.id.Service)
 	s.remove(r)
@@ -428,8 +436,8 @@
 	}
 }
 
-// shrinkAnswers drops the oldest stored answers over the byte bound; their
-// records stay and still say that the request ran.
+// shrinkAnswers deletes the oldest stored answers above the limit of bytes. Their
+// records stay, so that the requests still count as run.
 func (s *Store) shrinkAnswers() {
 	for e := s.runs.Front(); e != nil && s.answerBytes > s.maxAnswerBytes; e = e.Next() {
 		r := e.Value.(*record)
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -11,10 +11,11 @@
 	"slatewind.example/slatewind/once"
 )
 
-// none is the loss of nothing.
+// none loses no message.
 func none() string { return "" }
 
-// sent has a caller's chain take its next step, which must send an attempt.
+// sent executes the steps of a caller's chain until an attempt is sent and returns
+// the attempt.
 func sent(t *testing.T, w *world, c *caller, lost func() string) *flight {
 	t.Helper()
 	for range 3 {
@@ -35,9 +36,10 @@
 	return n
 }
 
-// TestJoiningRetryNeverRuns: a retry that came to join a running first attempt
-// finds it refused meanwhile. The first attempt may go on to a candidate that
-// the retry could not seal, so the retry must not run.
+// TestJoiningRetryNeverRuns guards against a second run by a retry that was sent
+// to join a running first attempt and finds it refused. The first attempt may be
+// handed over to a candidate at which the retry could not seal the key, so the
+// retry must not run.
 func TestJoiningRetryNeverRuns(t *testing.T) {
 	w := newWorld(true, 0, 0)
 	w.call(0)
@@ -66,9 +68,9 @@
 	assert.Equal(t, total(w), 1)
 }
 
-// TestSealIsNoProof: a retry seals every candidate and finds nothing, for the
-// home lost its memory after a run. A second retry must not take the first
-// one's seals for a proof that nothing ran.
+// TestSealIsNoProof guards against taking seals for a proof that nothing ran. The
+// home lost its records after a run, so a retry finds no record and seals the key
+// at every candidate. A second retry finds these seals and must not run.
 func TestSealIsNoProof(t *testing.T) {
 	w := newWorld(true, 0, 0)
 	w.call(0)
@@ -87,8 +89,9 @@
 	assert.Equal(t, total(w), 1)
 }
 
-// TestLateMessageDoesNotMakeAKeyYounger: an attempt without a number waits on
-// its way, and the home restarted after it had run the request.
+// TestLateMessageDoesNotMakeAKeyYounger checks that an attempt without a number,
+// delayed in transit, does not run if the home restarted after it had run the
+// request: the age of the key is taken when the ingress receives it.
 func TestLateMessageDoesNotMakeAKeyYounger(t *testing.T) {
 	w := newWorld(false, 0, 0)
 	w.call(0)
@@ -110,11 +113,11 @@
 		key  string
 		born time.Time
 	}{
-		"opaque":             {key: "order-17", born: now.Add(-lifetime - once.ClockSkew)},
-		"uuidv7":             {key: "018bcfe5-67e1-7000-8000-000000000000", born: time.UnixMilli(0x018bcfe567e1).Add(-once.ClockSkew)},
-		"uuidv4":             {key: "018bcfe5-67e1-4000-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
-		"uuidv7 from beyond": {key: "ffffffff-ffff-7000-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
-		"no hex":             {key: "018bcfe5-67e1-7zzz-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
+		"opaque":                   {key: "order-17", born: now.Add(-lifetime - once.ClockSkew)},
+		"uuidv7":                   {key: "018bcfe5-67e1-7000-8000-000000000000", born: time.UnixMilli(0x018bcfe567e1).Add(-once.ClockSkew)},
+		"uuidv4":                   {key: "018bcfe5-67e1-4000-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
+		"uuidv7 in the far future": {key: "ffffffff-ffff-7000-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
+		"no hex":                   {key: "018bcfe5-67e1-7zzz-8000-000000000000", born: now.Add(-lifetime - once.ClockSkew)},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -123,10 +126,10 @@
 	}
 }
 
-// TestCancelUnderAnotherViewIsNoProof: an ingress with old settings cancels its
-// first attempt at a sidecar with new ones and hands over to a server that only
-// the old settings have. The cancellation must not count as a proof under the
-// new settings.
+// TestCancelUnderAnotherViewIsNoProof checks that a cancellation under other
+// settings is no proof for a retry. An ingress with old settings cancels its first
+// attempt at a sidecar with new settings and hands over to a server that only the
+// old settings contain; a retry under the new settings must not run.
 func TestCancelUnderAnotherViewIsNoProof(t *testing.T) {
 	const before, after = 2, 2
 	w := newWorld(true, before, after)
@@ -152,8 +155,8 @@
 	assert.Equal(t, retry.outcome, slatewind.OutcomeUnknown)
 }
 
-// TestEvictionMovesTheCover: a record makes room for another; the key that it
-// stood for must not run again.
+// TestEvictionMovesTheCover checks that a request does not run again after its
+// record was evicted to make room for another.
 func TestEvictionMovesTheCover(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	s := once.NewStore(now, 1, 0)
@@ -171,8 +174,8 @@
 	assert.Equal(t, s.Begin(now, payment).Action, once.ActionUnknown)
 }
 
-// TestMemoryIsBounded: at the bounds of a store what runs is never forgotten,
-// answers go before records, and a request that finds no room is refused.
+// TestMemoryIsBounded checks that a full store never evicts running records,
+// deletes answers before records, and refuses requests for which it has no room.
 func TestMemoryIsBounded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	s := once.NewStore(now, 10, 100)
@@ -194,8 +197,9 @@
 	assert.Equal(t, s.Begin(now, first(9)).Action, once.ActionReplay)
 }
 
-// TestRetriesLeaveRoomForNewRequests: retries whose first attempts are forgotten
-// seal key after key; new requests must still find room.
+// TestRetriesLeaveRoomForNewRequests guards against retries filling the store: each
+// retry whose first attempt is forgotten seals its key, and new requests must
+// still find room.
 func TestRetriesLeaveRoomForNewRequests(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	s := once.NewStore(now, 20, 0)
@@ -207,7 +211,7 @@
 	for i := range 100 {
 		reply := s.Seal(now, request(fmt.Sprint("retry-", i), slatewind.ClaimRetry))
 		assert.Equal(t, reply.State, slatewind.RecordNone)
-		// Where nothing could be sealed the reply must prove nothing.
+		// If the key could not be sealed, the reply must not serve as a proof.
 		assert.Equal(t, reply.CoverAge == 0, i >= 5)
 		cancelled := request(fmt.Sprint("cancelled-", i), slatewind.ClaimFirst)
 		assert.Equal(t, s.Cancelled(now, cancelled), slatewind.CancelNotStarted)
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -14,9 +14,9 @@
 	"slatewind.example/slatewind/once"
 )
 
-// Settings can name two server lists: the second has server 3 in place of server
-// 0. The order of candidates keeps that of the servers in both lists, as
-// rendezvous hashing does; where the changed server stands is drawn.
+// The settings have one of two server lists; the second has server 3 in place of
+// server 0. The servers in both lists keep their order as candidates, as with
+// rendezvous hashing; the position of the changed server is drawn.
 var (
 	beforeChange = [][]int{{0, 1, 2}, {1, 0, 2}, {1, 2, 0}}
 	afterChange  = [][]int{{3, 1, 2}, {1, 3, 2}, {1, 2, 3}}
@@ -29,7 +29,7 @@
 )
 
 // sidecar is one sidecar of the model: the real records and attempts, and the
-// runs that its server has in hand.
+// attempts in progress at its server.
 type sidecar struct {
 	process  uint64
 	view     int
@@ -38,7 +38,7 @@
 	running  []*flight
 }
 
-// flight is one attempt: sent, perhaps delivered, perhaps run.
+// flight is one attempt that was sent, and may be delivered and run.
 type flight struct {
 	id          string
 	to          int
@@ -57,17 +57,17 @@
 	outcome  slatewind.Outcome
 }
 
-// world is a model of callers, a lossy network and sidecars around the real
-// decision types.
+// world models callers, a lossy network and sidecars around the real Store, Chain
+// and attempt.Table.
 type world struct {
 	now      time.Time
-	made     time.Time
+	created  time.Time
 	sides    [sidecars]*sidecar
 	callers  []*caller
 	flights  []*flight
 	serial   int
 	numbered bool
-	// views are the lists of candidates before and after the change.
+	// views holds the candidates under the settings before and after the change.
 	views [2][]int
 	// ran counts runs at servers, by attempt.
 	ran map[string]int
@@ -81,7 +81,7 @@
 		w.restart(i)
 	}
 	w.now = w.now.Add(time.Hour)
-	w.made = w.now
+	w.created = w.now
 	return w
 }
 
@@ -101,14 +101,14 @@
 		ID:          once.ID{Service: "service", Server: fmt.Sprint(to), Key: keyOfTest},
 		Fingerprint: 1,
 		Claim:       claim,
-		KeyBorn:     w.made,
+		KeyBorn:     w.created,
 		Home:        to == w.views[c.view][0],
 		Owners:      owners(c.view),
 		Attempt:     id,
 	}
 }
 
-// call begins a caller's next attempt at an ingress with some view.
+// call begins a caller's next attempt at an ingress with the given settings.
 func (w *world) call(view int) {
 	claim := slatewind.ClaimUnnumbered
 	if w.numbered {
@@ -120,7 +120,7 @@
 	w.callers = append(w.callers, &caller{view: view, chain: once.NewChain(claim, len(w.views[view]))})
 }
 
-// step lets an ingress do the next thing for a caller.
+// step executes the next step of an ingress for a caller.
 func (w *world) step(c *caller, written bool, lost func() string) {
 	step := c.chain.Step()
 	switch step.Kind {
@@ -159,7 +159,7 @@
 	return replies
 }
 
-// deliver hands a flight to its sidecar.
+// deliver delivers an attempt to its sidecar.
 func (w *world) deliver(f *flight) {
 	f.delivered = true
 	s := w.sides[f.to]
@@ -183,8 +183,8 @@
 	s.attempts.Refuse(f.id)
 }
 
-// serve lets a sidecar go on with a run in hand: refuse it for want of a slot,
-// or have the server run it, with or without an answer.
+// serve ends an attempt in progress at a sidecar: refused for lack of a slot, or
+// run by the server with or without an answer.
 func (w *world) serve(s *sidecar, f *flight, what string) {
 	for i, other := range s.running {
 		if other == f {
@@ -211,7 +211,7 @@
 	w.reply(f, once.RanAnswer)
 }
 
-// reply brings a result to the ingress if it still waits for this attempt.
+// reply passes a result to the ingress if it still waits for this attempt.
 func (w *world) reply(f *flight, ran once.Ran) {
 	if f.caller.waiting == f {
 		f.caller.waiting = nil
@@ -219,8 +219,9 @@
 	}
 }
 
-// giveUp has an ingress ask whether its attempt was started.
-func (w *world) giveUp(c *caller, heard bool) {
+// giveUp lets an ingress cancel the attempt for which it waits; received reports
+// whether the reply to the cancellation arrives.
+func (w *world) giveUp(c *caller, received bool) {
 	f := c.waiting
 	s := w.sides[f.to]
 	c.waiting = nil
@@ -231,14 +232,14 @@
 		}
 		state = s.records.Cancelled(w.now, f.request)
 	}
-	if heard && state == slatewind.CancelNotStarted {
+	if received && state == slatewind.CancelNotStarted {
 		c.chain.Ran(once.RanCancelled, "")
 		return
 	}
 	c.chain.Ran(once.RanUnknown, "")
 }
 
-// crowd fills a store with the records of other requests.
+// crowd adds the record of another request to a store.
 func (w *world) crowd(s *sidecar) {
 	w.serial++
 	id := once.ID{Service: "service", Key: fmt.Sprint("other", w.serial)}
@@ -259,12 +260,13 @@
 			continue
 		}
 		for _, id := range c.attempts {
-			assert.Assert(t, w.ran[id] == 0, "caller %d was told not-run and its attempt %s ran", i, id)
+			assert.Assert(t, w.ran[id] == 0, "caller %d was answered not-run and its attempt %s ran", i, id)
 		}
 	}
 }
 
-// pick draws one of the elements that fit; it skips the action if none does.
+// pick draws one of the elements for which fits is true; it skips the action if
+// there is none.
 func pick[T any](t *rapid.T, all []T, fits func(T) bool) T {
 	var fitting []T
 	for _, x := range all {
@@ -303,7 +305,8 @@
 		},
 		"step": func(t *rapid.T) {
 			c := pick(t, w.callers, func(c *caller) bool { return c.waiting == nil && c.outcome == "" })
-			// Usually an ingress goes straight on; now and then it is slow.
+			// Usually an ingress executes its steps at once; sometimes it is slow
+			// between them.
 			steps := rapid.SampledFrom([]int{9, 9, 9, 1}).Draw(t, "steps")
 			for ; steps > 0 && c.waiting == nil && c.outcome == ""; steps-- {
 				w.step(c, rapid.IntRange(0, 5).Draw(t, "unwritten") > 0, func() string {
@@ -350,9 +353,9 @@
 	return actions
 }
 
-// TestNumberedAttemptsRunAtMostOnce lets numbered attempts at one key meet lost,
-// late and crossed messages, restarts, pauses, evictions and two views of the
-// settings at once, in random order.
+// TestNumberedAttemptsRunAtMostOnce checks numbered attempts for one key under
+// lost, delayed and reordered messages, restarts, pauses, evictions and two
+// versions of the settings in force at the same time, in random order.
 func TestNumberedAttemptsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := rapid.IntRange(0, len(beforeChange)-1).Draw(t, "before")
@@ -361,8 +364,8 @@
 	})
 }
 
-// TestUnnumberedAttemptsRunAtMostOnce does the same for attempts that do not
-// say their number, under one view of the settings.
+// TestUnnumberedAttemptsRunAtMostOnce does the same for attempts without a number,
+// under one version of the settings.
 func TestUnnumberedAttemptsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(newWorld(false, 0, 0).actions(false))
--- a/once/resolve.go
+++ b/once/resolve.go
@@ -6,38 +6,41 @@
 	"slatewind.example/slatewind"
 )
 
-// sealMargin is added to the time that the replies took when the ages in them,
-// which two processes measured by their own clocks, are compared.
+// sealMargin is added to the time that the replies took when the ages in them are
+// compared, since two processes measured these by their own clocks.
 const sealMargin = time.Second
 
-// SealReply is what one candidate says of a key.
+// SealReply is the state of a key at one candidate.
 type SealReply struct {
 	State slatewind.RecordState
-	// RevokedAge is how long ago the key was revoked; for RecordRevoked.
+	// RevokedAge is the time since the key was revoked; set for RecordRevoked.
 	RevokedAge time.Duration
-	// CoverAge is how far back the candidate's memory reaches.
+	// CoverAge is how far back the candidate's records are complete.
 	CoverAge time.Duration
-	// OwnersDiffer: ingress and sidecar have different settings.
+	// OwnersDiffer reports that ingress and sidecar have different settings for the
+	// service.
 	OwnersDiffer bool
-	// Unreachable: no reply came.
+	// Unreachable reports that no reply was received.
 	Unreachable bool
 }
 
-// Resolution is what the replies of all candidates prove about a retry.
+// Resolution is the decision about a retry that follows from the replies of all
+// candidates.
 type Resolution struct {
-	// Action is ActionJoin (ask the candidate At for the answer), ActionRun
-	// (the home may run it) or ActionUnknown.
+	// Action is ActionJoin (request the answer from the candidate At), ActionRun
+	// (the home may run the request) or ActionUnknown.
 	Action Action
-	// At is the index of the candidate to ask.
+	// At is the index of the candidate for ActionJoin.
 	At     int
 	Reason string
 }
 
-// Resolve reads the replies of the candidates of a key, home first, which came
-// within the time took. A retry
-// may run only if some candidate revoked the key and every candidate, the
-// revoking ones included, remembers all that happened since before the oldest
-// revocation: then no candidate ran it, and as all are sealed none will.
+// Resolve decides about a retry from the replies of the candidates of its key,
+// home first. took is the time within which the replies were received. The retry
+// may run only if some candidate revoked the key and the records of every
+// candidate, including the revoking ones, are complete since before the oldest
+// revocation: then no candidate ran the request, and none will, since the key is
+// sealed at all of them.
 func Resolve(replies []SealReply, took time.Duration) Resolution {
 	var oldest time.Duration
 	revoked := false
@@ -58,27 +61,27 @@
 			return Resolution{Action: ActionUnknown, Reason: reason}
 		}
 	}
-	return Resolution{Action: ActionRun, Reason: "every candidate is sealed and none had run it"}
+	return Resolution{Action: ActionRun, Reason: "the key is sealed at every candidate and none had run the request"}
 }
 
-// gap returns why a reply leaves room for an earlier run, or nothing. needed is
-// how far back the candidate's memory must reach.
+// gap returns why a reply does not exclude an earlier run, or "". needed is how far
+// back the candidate's records must be complete.
 func gap(r SealReply, needed time.Duration) string {
 	switch {
 	case r.Unreachable:
-		return "a candidate cannot be reached and may have run it"
+		return "a candidate cannot be reached and may have run the request"
 	case r.OwnersDiffer:
 		return "a candidate has different settings for the service"
 	case r.CoverAge < needed:
-		return "the memory of a candidate does not reach back to the first attempt"
+		return "the records of a candidate do not reach back to the first attempt"
 	}
 	return ""
 }
 
-// Candidates orders the servers of a service for one key by rendezvous hash:
-// each process with the same server names gets the same order, and a change of
-// one server moves only the keys that it gains or loses. The result is written
-// to order, which must be as long as servers.
+// Candidates orders the servers of a service for one key by rendezvous hashing.
+// All processes with the same server names get the same order, and a change of one
+// server moves only the keys that it gains or loses. The indices of the servers
+// are written to order, which must be as long as servers.
 func Candidates(key string, servers []string, order []int) {
 	for i := range order {
 		order[i] = i
