--- a/logreport/cause.go
+++ b/logreport/cause.go
@@ -8,19 +8,21 @@
 	"slatewind.example/slatewind/inbound"
 )
 
-// allRefusals is the end of a reason that counts the refusals of a search.
+// allRefusals matches the end of a reason, with the numbers of refusals during a search by
+// cause. The group is the number of refusals by the budget for extra attempts.
 var allRefusals = regexp.MustCompile(` \(of all refusals: .*, (\d+) budget\)$`)
 
-// details are what makes equal causes look different: addresses, names of servers, numbers.
+// details matches the numbers and addresses by which equal causes differ.
 var details = regexp.MustCompile(`\d+(\.\d+)*(:\d+)?`)
 
-// refusals are the words with which the process beside a server refuses a request.
+// refusals are the causes for which a sidecar refuses a request. A reason begins with one of
+// them.
 var refusals = []inbound.Cause{
 	inbound.CauseFull, inbound.CauseUnhealthy, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
 	inbound.CauseBudget, inbound.CauseLate,
 }
 
-// knownCauses translates what stands in a reason into a cause; the first that fits counts.
+// knownCauses maps substrings of reasons to causes. The first match is used.
 var knownCauses = []struct{ part, cause string }{
 	{"no route for ", "no route"},
 	{" cannot be reached: ", "process beside the server not reached"},
@@ -34,13 +36,13 @@
 	{"the answer broke off", "answer broke off"},
 }
 
-// maxCause bounds a cause that is told as it stands, in bytes.
+// maxCause is the largest length in bytes of a cause that is not in knownCauses.
 const maxCause = 80
 
-// lastAttempt stands before what came of a further attempt than the one that a reason is about.
+// lastAttempt separates the reason from the result of a later attempt.
 const lastAttempt = "; the last attempt: "
 
-// causeOf returns the cause in a reason, without what differs from request to request.
+// causeOf returns the cause in a reason, without the details that differ between requests.
 func causeOf(reason string) string {
 	reason, _, _ = strings.Cut(reason, lastAttempt)
 	reason = allRefusals.ReplaceAllString(reason, "")
@@ -60,7 +62,7 @@
 	return shorten(details.ReplaceAllString(reason, "N"))
 }
 
-// shorten cuts a text that is too long for a table.
+// shorten truncates a text to maxCause.
 func shorten(text string) string {
 	if len(text) <= maxCause {
 		return text
@@ -68,7 +70,7 @@
 	return strings.ToValidUTF8(text[:maxCause], "") + "..."
 }
 
-// deniedIn returns how many refusals by the bound on extra attempts a reason counts.
+// deniedIn returns the number of refusals by the budget for extra attempts in a reason.
 func deniedIn(reason string) int {
 	match := allRefusals.FindStringSubmatch(reason)
 	if match == nil {
@@ -81,14 +83,14 @@
 	return n
 }
 
-// Beginnings of the reasons with which a breaker changes.
+// Prefixes of the reasons for which a breaker changes its state.
 const (
 	breakerOpens = "breaker is open: "
-	// breakerNoAnswer stands between it and the cause.
+	// breakerNoAnswer may follow breakerOpens, before the cause.
 	breakerNoAnswer = "no answer: "
 )
 
-// openingCause returns why a breaker opened; ok is false where it did not.
+// openingCause returns why a breaker opened. ok is false if the reason is for another state.
 func openingCause(reason string) (cause string, ok bool) {
 	cause, ok = strings.CutPrefix(reason, breakerOpens)
 	if !ok {
--- a/logreport/cause_test.go
+++ b/logreport/cause_test.go
@@ -10,8 +10,8 @@
 	"slatewind.example/slatewind/inbound"
 )
 
-// TestPassWords: the words of a survey are known, in its order.
-func TestPassWords(t *testing.T) {
+// TestNotAskedCauses checks that notAskedCauses lists the causes in a choice.Survey in its order.
+func TestNotAskedCauses(t *testing.T) {
 	_, notAsked, found := strings.Cut(choice.Survey{}.String(), "not_asked: ")
 	assert.Assert(t, found)
 	var words []string
@@ -19,10 +19,10 @@
 		word, _, _ := strings.Cut(pair, "=")
 		words = append(words, word)
 	}
-	assert.DeepEqual(t, words, passWords)
+	assert.DeepEqual(t, words, notAskedCauses)
 }
 
-// TestRefusals: each cause of a refusal is told without its details.
+// TestRefusals checks that the causes of refusals are reported without their details.
 func TestRefusals(t *testing.T) {
 	for _, cause := range []inbound.Cause{
 		inbound.CauseFull, inbound.CauseUnhealthy, inbound.CauseLeaving, inbound.CauseStopping, inbound.CauseMoved,
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestCauseOf: what differs from request to request is no part of a cause.
+// TestCauseOf checks that details that differ between requests are removed from causes.
 func TestCauseOf(t *testing.T) {
 	tests := map[string]string{
 		"full: no slot in time, 4 of 4 in use, 8 wait (of all refusals: 4 full, 2 sick, 0 leaving, 0 moved, 0 budget)":              "full",
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestOpeningCause: only a breaker that opens has a cause.
+// TestOpeningCause checks that only reasons for opening a breaker have a cause.
 func TestOpeningCause(t *testing.T) {
 	tests := map[string]struct {
 		reason, cause string
--- a/logreport/collector.go
+++ b/logreport/collector.go
@@ -8,28 +8,28 @@
 	"slatewind.example/slatewind"
 )
 
-// Collector takes lines and adds them up. It is not safe for use by several goroutines.
+// Collector parses log lines and aggregates them. It is not safe for concurrent use.
 type Collector struct {
 	report   Report
 	services map[string]*tally
-	// routes says of which kind each route is, as far as lines tell.
+	// routes holds the kinds of routes by name, as far as lines state them.
 	routes map[string]slatewind.Kind
-	// open holds the openings that have not ended, by server, and stops the stops that
-	// have not, by the process.
+	// open holds, by server, the openings that have not ended, and stops, by process, the
+	// stops that have not ended.
 	open  map[string]*opening
 	stops map[string]*Stop
-	// vms names the VM of each process.
+	// vms holds the VM of each process.
 	vms    map[string]string
 	events []event
 }
 
-// opening is one with the process that told of it.
+// opening is an Opening with the service and the process that logged it.
 type opening struct {
 	Opening
 	service, source string
 }
 
-// tally adds up what happened to the requests for one service.
+// tally holds the counts of one service.
 type tally struct {
 	unserved map[unservedKey]int
 	extra    map[extraKey]int
@@ -43,14 +43,14 @@
 	cause   string
 }
 
-// extraKey names the route in place of its kind, which other lines may tell later.
+// extraKey has the route instead of its kind, since a later line may state the kind.
 type extraKey struct {
 	route string
 	why   slatewind.DecisionKind
 	cause string
 }
 
-// Names of the curves.
+// Names of curves.
 const (
 	curveUnserved = "unserved requests"
 	curveExtra    = "extra attempts"
@@ -58,7 +58,7 @@
 	curveOpen     = "open breakers"
 )
 
-// event is something that is drawn over time.
+// event is a point in time at which the count of a curve rises.
 type event struct {
 	at      time.Time
 	service string
@@ -66,7 +66,7 @@
 	count   int
 }
 
-// NewCollector returns a collector that has read nothing.
+// NewCollector returns an empty collector.
 func NewCollector() *Collector {
 	return &Collector{
 		services: map[string]*tally{}, routes: map[string]slatewind.Kind{}, open: map[string]*opening{},
@@ -74,14 +74,14 @@
 	}
 }
 
-// Add takes one line of a log. An empty one counts for nothing.
+// Add adds one line of a log. Empty lines are ignored.
 func (c *Collector) Add(place Place, text string) {
 	if strings.TrimSpace(text) == "" {
 		return
 	}
 	l, err := parseLine(place.File, text)
 	if err == nil {
-		err = c.take(l)
+		err = c.count(l)
 	}
 	if err != nil {
 		c.report.Findings = append(c.report.Findings, Finding{place, err.Error()})
@@ -99,8 +99,8 @@
 	}
 }
 
-// take counts one line by its message.
-func (c *Collector) take(l line) error {
+// count aggregates one line according to its message.
+func (c *Collector) count(l line) error {
 	switch l.fields["msg"] {
 	case decisionMessage:
 		return c.decision(l)
@@ -112,7 +112,7 @@
 	case "stopped":
 		return c.stopped(l)
 	case "stopping with work in hand":
-		return c.inHand(l)
+		return c.pending(l)
 	case "callers cut off by the stop":
 		n, err := number(l.fields, "callers")
 		c.stop(l).CutOff = n
@@ -121,11 +121,11 @@
 	return nil
 }
 
-// decision counts one decision by its kind.
+// decision aggregates a decision according to its kind.
 func (c *Collector) decision(l line) error {
 	switch kind := slatewind.DecisionKind(l.fields["kind"]); kind {
 	case "":
-		return Error.New("a decision without a kind")
+		return Error.New("decision without a kind")
 	case slatewind.DecisionRefuse:
 		return c.unserved(l, slatewind.OutcomeNotRun)
 	case slatewind.DecisionUnknown:
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// processStops is the reason of the decision with which a stop begins.
+// processStops is the reason of the decision that is logged at the start of a stop.
 const processStops = "the process beside the server stops"
 
-// service returns the tally of a line's service.
+// service returns the tally of the service of a line. It creates it if necessary.
 func (c *Collector) service(l line) *tally {
 	name := orUnnamed(l.fields["service"])
 	t := c.services[name]
@@ -162,6 +162,7 @@
 	return t
 }
 
+// orUnnamed returns a name, or unnamed if it is empty.
 func orUnnamed(word string) string {
 	if word == "" {
 		return unnamed
@@ -169,14 +170,14 @@
 	return word
 }
 
-// note remembers an event for the curves.
+// note records an event for the curves.
 func (c *Collector) note(l line, curve string, count int) {
 	if count > 0 && !l.at.IsZero() {
 		c.events = append(c.events, event{l.at, orUnnamed(l.fields["service"]), curve, count})
 	}
 }
 
-// unserved counts a request that no server served.
+// unserved counts a request that was not served.
 func (c *Collector) unserved(l line, outcome slatewind.Outcome) error {
 	evidence := pairsOf(l.fields["evidence"])
 	kind := slatewind.Kind(orUnnamed(evidence["kind"]))
@@ -200,10 +201,10 @@
 	return nil
 }
 
-// passWords are the causes for which a server was not asked (choice.Survey).
-var passWords = []string{"leaving", "stopping", "full", "sick", "spent", "silent", "tried", "left"}
+// notAskedCauses are the causes for which a server is not asked, as in choice.Survey.
+var notAskedCauses = []string{"leaving", "stopping", "full", "sick", "spent", "silent", "tried", "left"}
 
-// searchesOf reads the counts of one search from the evidence of its end.
+// searchesOf returns the counts of one search from the evidence of the decision that ended it.
 func searchesOf(evidence map[string]string, reason string) (Searches, error) {
 	if _, ok := evidence["known"]; !ok {
 		return Searches{}, nil
@@ -216,25 +217,25 @@
 	if s.Asked, err = number(evidence, "asked"); err != nil {
 		return s, err
 	}
-	for _, word := range passWords {
+	for _, word := range notAskedCauses {
 		n, err := number(evidence, word)
 		if err != nil {
 			return s, err
 		}
 		s.NotAsked = append(s.NotAsked, Count{word, n})
 		if word == "left" && n > 0 {
-			s.SoundLeft = 1
+			s.UsableLeft = 1
 		}
 	}
 	return s, nil
 }
 
-// add adds the counts of another search.
+// add adds the counts of other searches.
 func (s *Searches) add(other Searches) {
 	s.Count += other.Count
 	s.Known += other.Known
 	s.Asked += other.Asked
-	s.SoundLeft += other.SoundLeft
+	s.UsableLeft += other.UsableLeft
 	s.Denied += other.Denied
 	if s.NotAsked == nil {
 		s.NotAsked = other.NotAsked
@@ -245,14 +246,14 @@
 	}
 }
 
-// extra counts an attempt beyond the first.
+// extra counts an extra attempt.
 func (c *Collector) extra(l line, why slatewind.DecisionKind) {
 	route := pairsOf(l.fields["evidence"])["route"]
 	c.service(l).extra[extraKey{route, why, causeOf(l.fields["reason"])}]++
 	c.note(l, curveExtra, 1)
 }
 
-// opened notes that a breaker opened, unless it was open.
+// opened records that a breaker opened, unless it is open already.
 func (c *Collector) opened(l line) {
 	server := l.fields["server"]
 	cause, ok := openingCause(l.fields["reason"])
@@ -262,11 +263,11 @@
 	c.open[server] = &opening{
 		Opening: Opening{Server: server, Cause: cause, At: l.at}, service: orUnnamed(l.fields["service"]), source: l.source,
 	}
-	// The service appears in the report also where nothing else happened.
+	// Creates the tally, so that the service is in the report even without other events.
 	c.service(l)
 }
 
-// end notes the end of an opening, if there is one.
+// end records the end of the current opening of a server's breaker, if there is one.
 func (c *Collector) end(server string, at time.Time, how Ending) {
 	o := c.open[server]
 	if o == nil {
@@ -278,7 +279,8 @@
 	t.openings = append(t.openings, o.Opening)
 }
 
-// replaced ends the openings that an earlier process of a VM told of.
+// replaced ends the openings that the same source logged: a process that stopped or was
+// restarted has no open breakers any more.
 func (c *Collector) replaced(l line) {
 	for server, o := range c.open {
 		if o.source == l.source {
@@ -287,7 +289,7 @@
 	}
 }
 
-// leftOut counts the lines that a process left out of its log.
+// leftOut adds the number of lines that a process omitted from its log.
 func (c *Collector) leftOut(l line) error {
 	for _, key := range []string{"about_requests", "others"} {
 		n, err := number(l.fields, key)
@@ -299,7 +301,7 @@
 	return nil
 }
 
-// stop returns the stop of a process that is under way, which may begin here.
+// stop returns the current stop of a process. It creates it if there is none.
 func (c *Collector) stop(l line) *Stop {
 	s := c.stops[l.source]
 	if s == nil {
@@ -312,8 +314,8 @@
 	return s
 }
 
-// inHand notes what a stop waited for no longer.
-func (c *Collector) inHand(l line) error {
+// pending records the requests that were unfinished when a stop no longer waited for them.
+func (c *Collector) pending(l line) error {
 	s := c.stop(l)
 	var err error
 	if s.Running, err = number(l.fields, "running"); err != nil {
@@ -323,13 +325,13 @@
 	return err
 }
 
-// stopped notes the end of a stop.
+// stopped records the end of a stop.
 func (c *Collector) stopped(l line) error {
 	s := c.stop(l)
 	if text := l.fields["took"]; text != "" {
 		took, err := time.ParseDuration(text)
 		if err != nil {
-			return fmt.Errorf("took=%s is no duration", text)
+			return fmt.Errorf("took=%s is not a duration", text)
 		}
 		s.Took = took
 		s.At = l.at.Add(-took)
--- a/logreport/curve.go
+++ b/logreport/curve.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// mostBins bounds the points of a curve, leastBin the time between two.
-	mostBins = 120
-	leastBin = time.Second
+	// maxBins is the largest number of bins of a curve, minBin the shortest bin.
+	maxBins = 120
+	minBin  = time.Second
 )
 
-// binOf returns the length of the bins of curves: whole seconds, no more than mostBins.
+// binOf returns the length of a bin for a time range: the fewest whole seconds with which there
+// are about maxBins bins.
 func binOf(from, to time.Time) time.Duration {
-	bin := to.Sub(from) / mostBins
-	return max((bin + leastBin - 1).Truncate(leastBin), leastBin)
+	bin := to.Sub(from) / maxBins
+	return max((bin + minBin - 1).Truncate(minBin), minBin)
 }
 
-// bins returns how many bins the curves have.
+// bins returns the number of bins of the curves.
 func (r *Report) bins() int { return int(r.To.Sub(r.From)/r.Bin) + 1 }
 
-// binAt returns the bin of a moment.
+// binAt returns the index of the bin of a time, clamped to the range of the report.
 func (r *Report) binAt(at time.Time) int {
 	return min(max(int(at.Sub(r.From)/r.Bin), 0), r.bins()-1)
 }
 
-// curves returns what events of a service add up to over time.
+// curves returns the curves of the events of a service.
 func (c *Collector) curves(r *Report, service string) []Curve {
 	curves := []Curve{{Name: curveUnserved}, {Name: curveExtra}, {Name: curveDenied}}
 	for i := range curves {
@@ -36,7 +37,7 @@
 	return curves
 }
 
-// openCurve returns how many breakers were open at some time of each bin.
+// openCurve returns the curve of breakers that were open during any part of a bin.
 func openCurve(r *Report, openings []Opening) Curve {
 	curve := Curve{Name: curveOpen, Counts: make([]int, r.bins())}
 	for _, o := range openings {
--- a/logreport/finish.go
+++ b/logreport/finish.go
@@ -8,8 +8,8 @@
 	"slatewind.example/slatewind"
 )
 
-// Report returns what all lines tell so far. Openings and stops that have not ended are
-// told as such; lines that come later may end them.
+// Report returns the report of all lines added so far. Openings and stops that have not ended
+// are marked as such; lines that are added later may end them.
 func (c *Collector) Report() Report {
 	r := c.report
 	r.Stops = slices.Clone(r.Stops)
@@ -28,7 +28,7 @@
 	return r
 }
 
-// openings returns those of a service, with those that have not ended.
+// openings returns the openings of a service, including those that have not ended.
 func (c *Collector) openings(service string) []Opening {
 	openings := slices.Clone(c.services[service].openings)
 	for _, o := range c.open {
@@ -44,7 +44,7 @@
 	return openings
 }
 
-// kinds returns the part of each kind of route.
+// kinds returns the counts of a tally by kind of route.
 func (c *Collector) kinds(t *tally) []KindOfRoute {
 	parts := map[slatewind.Kind]*KindOfRoute{}
 	part := func(kind slatewind.Kind) *KindOfRoute {
@@ -78,7 +78,8 @@
 	return sorted(parts)
 }
 
-// kindOf returns the kind of the route of extra attempts.
+// kindOf returns the kind of the route of extra attempts. Hedges are made only on repeatable
+// routes; other kinds are known only if a line stated them.
 func (c *Collector) kindOf(key extraKey) slatewind.Kind {
 	if key.why == slatewind.DecisionHedge {
 		return slatewind.KindRepeatable
@@ -89,7 +90,7 @@
 	return unnamed
 }
 
-// sorted orders the parts by their kind, and what they count by its number.
+// sorted returns the parts ordered by kind, with the largest counts of each first.
 func sorted(parts map[slatewind.Kind]*KindOfRoute) []KindOfRoute {
 	var kinds []KindOfRoute
 	for _, kind := range slices.Sorted(maps.Keys(parts)) {
--- a/logreport/html.go
+++ b/logreport/html.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// page is the page of a report. It loads nothing from anywhere.
+// page is the template of the HTML report. It references no external resources.
 var page = template.Must(template.New("report").Funcs(template.FuncMap{
 	"mean": mean,
 	"at":   func(t time.Time) string { return t.Format(timeFormat) },
@@ -41,7 +41,7 @@
 <tr><td>servers known, in the mean</td><td class="n">{{printf "%.1f" (mean .Known $n)}}</td></tr>
 <tr><td>asked</td><td class="n">{{printf "%.1f" (mean .Asked $n)}}</td></tr>
 {{range .NotAsked}}<tr><td>not asked: {{.Word}}</td><td class="n">{{printf "%.1f" (mean .Count $n)}}</td></tr>
-{{end}}<tr><td>searches with sound servers not asked</td><td class="n">{{.SoundLeft}}</td></tr>
+{{end}}<tr><td>searches with usable servers not asked</td><td class="n">{{.UsableLeft}}</td></tr>
 <tr><td>extra attempts denied by the bound</td><td class="n">{{.Denied}}</td></tr>
 </table>{{end}}{{end}}
 {{end}}
@@ -64,7 +64,7 @@
 </html>
 `))
 
-// Parts of a page, with what is worked out for it.
+// Data of the template: the parts of a report with derived texts.
 type (
 	pageOpenings struct {
 		OpeningsOfCause
@@ -93,7 +93,7 @@
 	}
 )
 
-// WriteHTML writes a report as a page that needs nothing else.
+// WriteHTML writes a report as one HTML page without external resources.
 func (r *Report) WriteHTML(out io.Writer) error {
 	data := pageReport{Heading: r.heading()}
 	for _, s := range r.Services {
@@ -101,7 +101,8 @@
 		if err != nil {
 			return err
 		}
-		// The drawing holds names of curves and numbers, and nothing out of a log.
+		// template.HTML is safe here: the SVG contains only the names of curves and numbers,
+		// no text from a log.
 		service := pageService{Service: s, Title: s.title(), Plot: template.HTML(drawn)}
 		for _, k := range s.Kinds {
 			service.Parts = append(service.Parts, pageKind{k, k.title()})
@@ -114,7 +115,7 @@
 	for _, s := range r.Stops {
 		data.Stops = append(data.Stops, pageStop{s, s.lasted(), s.work()})
 	}
-	for _, f := range r.Findings[:min(len(r.Findings), mostFindings)] {
+	for _, f := range r.Findings[:min(len(r.Findings), maxListedFindings)] {
 		data.Findings = append(data.Findings, f.String())
 	}
 	return Error.Wrap(page.Execute(out, data))
--- a/logreport/line.go
+++ b/logreport/line.go
@@ -17,36 +17,36 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("logreport")
 
-// Place is where a line stands.
+// Place is the position of a line.
 type Place struct {
 	File string
 	Line int
 }
 
-// Finding is a line that cannot be read.
+// Finding is a line that cannot be parsed.
 type Finding struct {
 	Place   Place
 	Message string
 }
 
-// String renders a finding as file:line: message.
+// String formats a finding as file:line: message.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s", f.Place.File, f.Place.Line, f.Message)
 }
 
-// Findings are all lines that cannot be read.
+// Findings are the lines that cannot be parsed.
 type Findings []Finding
 
-// mostFindings bounds the findings that are told one by one.
-const mostFindings = 20
+// maxListedFindings is the number of findings that are listed one by one.
+const maxListedFindings = 20
 
-// Error renders one finding a line, and how many more there are.
+// Error returns one finding per line, at most maxListedFindings, and the number of further ones.
 func (f Findings) Error() string {
 	var lines []string
-	for _, finding := range f[:min(len(f), mostFindings)] {
+	for _, finding := range f[:min(len(f), maxListedFindings)] {
 		lines = append(lines, finding.String())
 	}
-	if more := len(f) - mostFindings; more > 0 {
+	if more := len(f) - maxListedFindings; more > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more line(s) that cannot be read", more))
 	}
 	return strings.Join(lines, "\n")
@@ -54,30 +54,30 @@
 
 // line is one log line, split into its fields.
 type line struct {
-	// source names the process whose line it is.
+	// source is the name of the process that wrote the line.
 	source string
-	// at is zero where the line has no time.
+	// at is zero if the line has no time.
 	at     time.Time
 	fields map[string]string
 }
 
-// decisionMessage is that of the lines that tell a decision.
+// decisionMessage is the message of lines that log a decision.
 const decisionMessage = "decision"
 
-// firstKeys are the keys with which lines of processes begin.
+// firstKeys are the keys with which log lines may begin.
 var firstKeys = []string{"time=", "level="}
 
 var (
-	errNoLine = errors.New("not a line of a process: no time= or level=")
-	errNoTime = errors.New("the time is none")
+	errNoLine      = errors.New("not a line of a process: no time= or level=")
+	errInvalidTime = errors.New("invalid time")
 )
 
-// parseLine splits a line. Whatever stands before its first key was put there by
-// the collector of the logs; its last word names the process then, else the file does.
+// parseLine parses a line. Text before its first key was added by a log collector; its last word
+// is the name of the process. Without such text, the base name of the file is.
 func parseLine(file, text string) (line, error) {
 	start := -1
 	for _, key := range firstKeys {
-		if start = beginOf(text, key); start >= 0 {
+		if start = indexOfKey(text, key); start >= 0 {
 			break
 		}
 	}
@@ -94,14 +94,14 @@
 	if at, ok := l.fields["time"]; ok {
 		var err error
 		if l.at, err = time.Parse(time.RFC3339Nano, at); err != nil {
-			return line{}, fmt.Errorf("%w: %q", errNoTime, at)
+			return line{}, fmt.Errorf("%w: %q", errInvalidTime, at)
 		}
 	}
 	return l, nil
 }
 
-// Decision returns the decision that a line of a log tells, and the process that made it.
-// Lines that tell of something else are not found.
+// Decision returns the decision in a log line and the process that made it. found is false for
+// lines that log something else.
 func Decision(file, text string) (process string, d slatewind.Decision, found bool, err error) {
 	l, err := parseLine(file, text)
 	if err != nil || l.fields["msg"] != decisionMessage {
@@ -114,8 +114,8 @@
 	}, true, nil
 }
 
-// beginOf returns where a key begins a word, or -1.
-func beginOf(text, key string) int {
+// indexOfKey returns the index of the first word that begins with key, or -1.
+func indexOfKey(text, key string) int {
 	if strings.HasPrefix(text, key) {
 		return 0
 	}
@@ -125,7 +125,7 @@
 	return -1
 }
 
-// split reads the pairs of a line.
+// split parses the key=value pairs of a line.
 func (l *line) split(text string) error {
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
 	for decoder.ScanRecord() {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// number reads a count among pairs; one that is missing is zero.
+// number returns the integer value of a key, or 0 if the key is missing.
 func number(pairs map[string]string, key string) (int, error) {
 	text, ok := pairs[key]
 	if !ok {
@@ -150,12 +150,12 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, fmt.Errorf("%s=%s is no number", key, text)
+		return 0, fmt.Errorf("%s=%s is not a number", key, text)
 	}
 	return n, nil
 }
 
-// pairsOf splits the evidence of a decision; words without = are left out.
+// pairsOf returns the key=value pairs in the evidence of a decision. Words without = are ignored.
 func pairsOf(evidence string) map[string]string {
 	pairs := map[string]string{}
 	for word := range strings.FieldsSeq(evidence) {
--- a/logreport/logreport.go
+++ b/logreport/logreport.go
@@ -1,9 +1,9 @@
-// Package logreport tells from the logs of processes what became of a service: which
-// requests went unserved and why, which breakers opened, what extra attempts were made,
-// which servers were not asked, and how long stops took.
+// Package logreport aggregates the logs of processes into a report by service: requests that
+// were not served and why, breakers that opened, extra attempts, servers that were not asked,
+// and the duration of stops.
 //
-// It reads lines and returns plain data; opening files is its caller's job. A line that
-// cannot be read becomes a finding with its place, and the others go on.
+// It parses lines and returns plain data; the caller opens the files. A line that cannot be
+// parsed is reported as a finding with its position and does not affect other lines.
 package logreport
 
 import (
@@ -12,41 +12,41 @@
 	"slatewind.example/slatewind"
 )
 
-// unnamed is the word for what a line does not tell.
+// unnamed stands for a service or kind that a line does not state.
 const unnamed = "-"
 
-// Report is what the lines of all logs tell.
+// Report is the aggregate of all lines.
 type Report struct {
-	// From and To are the times of the oldest and the newest line, Bin is the length of
-	// the bins of curves.
+	// From and To are the times of the oldest and the newest line, Bin is the length of a
+	// bin of the curves.
 	From, To time.Time
 	Bin      time.Duration
-	// Lines counts the lines that were read, LeftOut those that processes said they left
-	// out of their logs.
+	// Lines is the number of parsed lines, LeftOut the number of lines that processes
+	// reported as omitted from their logs.
 	Lines, LeftOut int
 	Services       []Service
 	Stops          []Stop
-	// Findings are the lines that could not be read, in the order of reading.
+	// Findings are the lines that could not be parsed, in the order in which they were added.
 	Findings Findings
 }
 
-// Service is what happened to the requests for one service.
+// Service is the part of a report about one service.
 type Service struct {
 	Name string
-	// Kinds holds a part for each kind of route.
+	// Kinds holds the counts by kind of route.
 	Kinds []KindOfRoute
-	// Openings are those of the breakers of its servers, oldest first.
+	// Openings are the openings of its servers' breakers, oldest first.
 	Openings []Opening
 	Curves   []Curve
 }
 
-// Curve is something counted over the time of a report, in bins of equal length.
+// Curve is a time series of counts in bins of length Report.Bin.
 type Curve struct {
 	Name   string
 	Counts []int
 }
 
-// KindOfRoute is what happened to the requests on routes of one kind.
+// KindOfRoute holds the counts of requests on routes of one kind.
 type KindOfRoute struct {
 	Kind     slatewind.Kind
 	Unserved []Unserved
@@ -54,16 +54,16 @@
 	Searches Searches
 }
 
-// Unserved counts the requests that no server served for one cause.
+// Unserved is the number of requests that were not served for one cause.
 type Unserved struct {
-	// Outcome says whether they are proved not to have run; OutcomeAnswer is a server's own
-	// error answer.
+	// Outcome says whether the requests are known not to have been executed. OutcomeAnswer
+	// stands for an error response of a server.
 	Outcome slatewind.Outcome
 	Cause   string
 	Count   int
 }
 
-// Extra counts the attempts beyond the first of one sort.
+// Extra is the number of extra attempts of one kind for one cause.
 type Extra struct {
 	// Why is the kind of decision, DecisionRetry or DecisionHedge.
 	Why   slatewind.DecisionKind
@@ -71,44 +71,47 @@
 	Count int
 }
 
-// Searches sums up the searches for a slot that found none. Logs tell of no others.
+// Searches sums up the searches for a slot that found none. Other searches are not logged.
 type Searches struct {
 	Count int
-	// Known and Asked are sums over the searches, as all counts here.
+	// Known and Asked are the numbers of known and asked servers. All counts are sums over
+	// the searches.
 	Known, Asked int
-	// NotAsked counts the servers that were not asked, by the words of choice.Survey.
+	// NotAsked holds the numbers of servers that were not asked, by the causes of
+	// choice.Survey.
 	NotAsked []Count
-	// SoundLeft counts the searches that left servers unasked which they could have asked.
-	SoundLeft int
-	// Denied counts the refusals by the bound on extra attempts that they met.
+	// UsableLeft is the number of searches that ended although there were usable servers that
+	// had not been asked.
+	UsableLeft int
+	// Denied is the number of refusals by the budget for extra attempts.
 	Denied int
 }
 
-// Count is a word with a number.
+// Count is the number of servers not asked for one cause, which is in Word.
 type Count struct {
 	Word  string
 	Count int
 }
 
-// Ending says how an opening of a breaker ended.
+// Ending is how an opening of a breaker ended.
 type Ending string
 
 // Endings of openings.
 const (
-	// EndedClosed: enough trials succeeded.
+	// EndedClosed means that enough trials succeeded.
 	EndedClosed Ending = "closed"
-	// EndedReplaced: another start of the server, or the end of the process beside it.
+	// EndedReplaced means that the server was restarted or its sidecar ended.
 	EndedReplaced Ending = "replaced"
-	// EndedOpen: it was open at the end of the logs.
+	// EndedOpen means that the breaker was open at the end of the logs.
 	EndedOpen Ending = "open"
 )
 
-// Opening is one time for which a breaker was open.
+// Opening is an interval during which a breaker was open.
 type Opening struct {
 	Server string
 	Cause  string
 	At     time.Time
-	// Lasted is until it closed, its server was replaced or the logs end.
+	// Lasted is the time until the breaker closed, the server was replaced or the logs end.
 	Lasted time.Duration
 	Ending Ending
 }
@@ -116,17 +119,18 @@
 // Stop is one planned stop of a process.
 type Stop struct {
 	VM string
-	// At is when it began.
+	// At is the time at which the stop began.
 	At time.Time
-	// Took is how long it lasted, or zero where the log does not tell of its end.
+	// Took is the duration of the stop, or zero if it is not in the log.
 	Took time.Duration
-	// Ended says that the process stopped in order.
+	// Ended reports whether the process ended regularly.
 	Ended bool
-	// Running and Callers are the requests in hand at which it waited no longer.
+	// Running and Callers are the numbers of unfinished requests when the process no longer
+	// waited for them.
 	Running, Callers int
-	// CutOff counts the callers that had no answer at the end.
+	// CutOff is the number of callers that had no response at the end of the stop.
 	CutOff int
 }
 
-// InHand reports whether work was in hand when the wait was over.
+// InHand reports whether there were unfinished requests when the process no longer waited.
 func (s Stop) InHand() bool { return s.Running+s.Callers+s.CutOff > 0 }
--- a/logreport/logreport_test.go
+++ b/logreport/logreport_test.go
@@ -17,7 +17,7 @@
 	"slatewind.example/slatewind/logreport"
 )
 
-// collect reads logs of testdata.
+// collect returns the report of log files in testdata.
 func collect(t *testing.T, files ...string) logreport.Report {
 	t.Helper()
 	c := logreport.NewCollector()
@@ -33,7 +33,7 @@
 	return c.Report()
 }
 
-// TestText compares the reports of recorded logs with what they should tell.
+// TestText compares the text reports of recorded logs with golden files.
 func TestText(t *testing.T) {
 	tests := map[string][]string{
 		"one-process":   {"vm-1.log"},
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestFindings: a line that cannot be read is told with its place, and the others go on.
+// TestFindings checks that a line that cannot be parsed is reported with its position and that
+// the other lines are counted.
 func TestFindings(t *testing.T) {
 	report := collect(t, "damaged.log")
 	golden.Assert(t, report.Findings.Error()+"\n", "findings.txt")
@@ -60,7 +61,8 @@
 	assert.Equal(t, report.Services[0].Kinds[0].Unserved[0].Count, 1)
 }
 
-// TestManyFindings: a file of another sort does not fill the screen.
+// TestManyFindings checks that the list of findings is limited, for example if a file is not a
+// log at all.
 func TestManyFindings(t *testing.T) {
 	c := logreport.NewCollector()
 	for i := range 1000 {
@@ -71,7 +73,8 @@
 	assert.Assert(t, strings.HasSuffix(text, "and 980 more line(s) that cannot be read"), text)
 }
 
-// TestPage: the page loads nothing from anywhere, and what stands in logs is no markup.
+// TestPage checks that the HTML report references no external resources and that text from logs
+// is escaped.
 func TestPage(t *testing.T) {
 	c := logreport.NewCollector()
 	c.Add(logreport.Place{File: "f", Line: 1}, `time=2026-03-01T10:00:00Z level=info msg=decision kind=refuse service="<script>alert(1)</script>" reason="<img src=x>" evidence="route=pay kind=single"`)
@@ -92,7 +95,7 @@
 	}
 }
 
-// TestCurves: counts over time add up to the counts of the tables.
+// TestCurves checks that the counts of the curves add up to the counts in the tables.
 func TestCurves(t *testing.T) {
 	report := collect(t, "vm-1.log")
 	sums := map[string]int{}
@@ -111,8 +114,8 @@
 	})
 }
 
-// TestLinesAsWritten: lines that the logger of the processes writes are read, with the
-// counts of a survey as the decisions carry them.
+// TestLinesAsWritten checks that lines written by the logger of the processes are parsed,
+// including the counts of a choice.Survey in the evidence.
 func TestLinesAsWritten(t *testing.T) {
 	var out bytes.Buffer
 	logger := log.NewWithOptions(&out, log.Options{Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: time.RFC3339Nano})
@@ -126,7 +129,7 @@
 	kind := report.Services[0].Kinds[0]
 	assert.DeepEqual(t, kind.Unserved, []logreport.Unserved{{Outcome: slatewind.OutcomeNotRun, Cause: "sick", Count: 1}})
 	assert.DeepEqual(t, kind.Searches, logreport.Searches{
-		Count: 1, Known: 35, Asked: 1, SoundLeft: 1, NotAsked: []logreport.Count{
+		Count: 1, Known: 35, Asked: 1, UsableLeft: 1, NotAsked: []logreport.Count{
 			{Word: "leaving", Count: 2},
 			{Word: "stopping", Count: 7},
 			{Word: "full", Count: 3},
--- a/logreport/plot.go
+++ b/logreport/plot.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	// plotWidth and plotHeight are the size of a plot.
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	// headroom is how much higher a plot is than its highest point: room for the legend.
+	// headroom is the ratio of the Y axis to the highest point. It leaves room for the legend.
 	headroom = 1.6
 )
 
-// svg draws the curves of a service as an SVG element.
+// svg returns a plot of the curves of a service as an SVG element.
 func svg(curves []Curve, bin time.Duration) (string, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the first line"
@@ -50,7 +49,7 @@
 	return element(out.String()), nil
 }
 
-// element leaves out what stands before the SVG element, which has no place within a page.
+// element removes the XML prologue before the SVG element, which is not allowed inside HTML.
 func element(document string) string {
 	if i := strings.Index(document, "<svg"); i >= 0 {
 		return document[i:]
--- a/logreport/summary.go
+++ b/logreport/summary.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// OpeningsOfCause sums up the openings of breakers for one cause.
+// OpeningsOfCause summarises the openings of breakers for one cause.
 type OpeningsOfCause struct {
 	Cause string
-	// Count is how often breakers opened; Closed, Replaced and StillOpen say how that ended.
+	// Count is the number of openings; Closed, Replaced and StillOpen are the numbers by ending.
 	Count, Closed, Replaced, StillOpen int
-	// Median and Longest are those of the openings that closed.
+	// Median and Longest are durations of the openings that ended with EndedClosed.
 	Median, Longest time.Duration
 }
 
-// ByCause sums up openings, the most frequent cause first.
+// ByCause summarises openings by cause, the most frequent cause first.
 func ByCause(openings []Opening) []OpeningsOfCause {
 	closed := map[string][]time.Duration{}
 	sums := map[string]*OpeningsOfCause{}
@@ -49,5 +49,5 @@
 	return list
 }
 
-// mean returns a sum as a mean of n.
+// mean returns the mean of n values with a sum, or the sum if n is 0.
 func mean(sum, n int) float64 { return float64(sum) / float64(max(n, 1)) }
--- a/logreport/text.go
+++ b/logreport/text.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// precision is that of the times in a report.
+// precision is the precision of durations in a report.
 const precision = time.Millisecond
 
 // WriteText writes a report as text.
@@ -34,10 +34,10 @@
 	return w.Flush()
 }
 
-// timeFormat is that of moments in a report.
+// timeFormat is the format of times of day in a report.
 const timeFormat = "15:04:05.000"
 
-// heading says what the report rests on.
+// heading returns the number of lines and the time range of the report, and what is missing.
 func (r *Report) heading() string {
 	text := fmt.Sprintf("%d lines", r.Lines)
 	if !r.From.IsZero() {
@@ -52,7 +52,7 @@
 	return text
 }
 
-// title names a service in headings.
+// title returns the heading of a service.
 func (s *Service) title() string {
 	if s.Name == unnamed {
 		return "requests for no service"
@@ -60,15 +60,15 @@
 	return "service " + s.Name
 }
 
-// title names a kind of route in headings.
+// title returns the heading of a kind of route.
 func (k *KindOfRoute) title() string {
 	if k.Kind == unnamed {
-		return "routes whose kind no line tells"
+		return "routes of unknown kind"
 	}
 	return fmt.Sprintf("%s routes", k.Kind)
 }
 
-// writeText writes the part of one kind of route.
+// writeText writes the counts of one kind of route.
 func (k *KindOfRoute) writeText(line func(string, ...any)) {
 	line(" %s", k.title())
 	for _, u := range k.Unserved {
@@ -79,17 +79,17 @@
 	}
 	if s := k.Searches; s.Count > 0 {
 		line("  searches without a slot\t%d\t%s", s.Count, s.asked())
-		line("  with sound servers not asked\t%d\t%s", s.SoundLeft, s.notAsked())
+		line("  with usable servers not asked\t%d\t%s", s.UsableLeft, s.notAsked())
 		line("  extra attempts denied to them\t%d\tby the bound, at a server each", s.Denied)
 	}
 }
 
-// asked says how many servers a search asked.
+// asked returns the mean number of servers that a search asked.
 func (s *Searches) asked() string {
 	return fmt.Sprintf("asked %.1f of %.1f servers in the mean", mean(s.Asked, s.Count), mean(s.Known, s.Count))
 }
 
-// notAsked says how many servers a search did not ask, and why.
+// notAsked returns the mean numbers of servers that a search did not ask, by cause.
 func (s *Searches) notAsked() string {
 	var words []string
 	for _, n := range s.NotAsked {
@@ -103,7 +103,7 @@
 	return "not asked in the mean: " + strings.Join(words, ", ")
 }
 
-// ended says how the openings for a cause ended.
+// ended returns how the openings for a cause ended.
 func (o *OpeningsOfCause) ended() string {
 	text := fmt.Sprintf("%d closed", o.Closed)
 	if o.Closed > 0 {
@@ -118,18 +118,18 @@
 	return text
 }
 
-// lasted says how long a stop took.
+// lasted returns the duration of a stop.
 func (s Stop) lasted() string {
 	switch {
 	case !s.Ended:
 		return "no end in the log"
 	case s.Took == 0:
-		return "took a time that the log does not tell"
+		return "duration not in the log"
 	}
 	return "took " + s.Took.Round(precision).String()
 }
 
-// work says what was in hand when a stop waited no longer.
+// work returns the unfinished requests when a stop no longer waited for them.
 func (s Stop) work() string {
 	if !s.InHand() {
 		return "nothing in hand"
