--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the commands of the slatewind program.
+// Package cli implements the commands of the slatewind program.
 package cli
 
 import (
@@ -23,18 +23,18 @@
 // Exit codes of the program.
 const (
 	ExitOK = iota
-	// ExitFindings: the file has findings, or a trace missed its outcome.
+	// ExitFindings means that a file has findings or a trace missed an expected outcome.
 	ExitFindings
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage
-	// ExitUnreached: a process or a file could not be read.
+	// ExitUnreached means that a process could not be reached or a file could not be read.
 	ExitUnreached
 )
 
-// ExitCodes explains them for --help.
-const ExitCodes = "Exit codes: 0 all is well, 1 the file has findings or a trace missed a stated outcome, 2 the command line is wrong, 3 a process or a file could not be read."
+// ExitCodes is the description of the exit codes for --help.
+const ExitCodes = "Exit codes: 0 success, 1 a file has findings or a trace missed an expected outcome, 2 the command line is invalid, 3 a process could not be reached or a file could not be read."
 
-// Classes of errors, by exit code.
+// Classes of errors that ExitCode maps to an exit code.
 var (
 	ErrFindings  = errs.Class("findings")
 	ErrUnreached = errs.Class("unreached")
@@ -54,29 +54,29 @@
 	return ExitUsage
 }
 
-// IsHelp reports whether an error is the text of --help.
+// IsHelp reports whether an error holds the text of --help, which is not a failure.
 func IsHelp(err error) bool {
 	var flagErr *flags.Error
 	return errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp
 }
 
-// AddCommands adds every command to a parser; they write to out.
+// AddCommands adds all commands to a parser. They write their output to out.
 func AddCommands(parser *flags.Parser, out io.Writer) error {
 	commands := []struct {
 		name, short, long string
 		data              any
 	}{
 		{"check", "check settings files", "Checks operators' files, or with --process the settings of processes, and prints every finding as file:line:column: message (check).", &checkCommand{out: out}},
-		{"state", "dump the state of a process", "Prints what a process knows and does, as text or JSON, once or again and again. ADDR is its admin address.", &stateCommand{out: out}},
-		{"explain", "explain decisions", "Prints the journals of processes: why a server was judged sick, why a request was refused, in the order of time. Decisions about calls that a server made for a request are indented. SOURCE is the admin address of a process or, with --logs, a log file.", &explainCommand{out: out}},
-		{"settings", "show which settings are in force where", "Prints for each process which revision is in force and since when.", &settingsCommand{out: out}},
-		{"ready", "wait until processes are ready", "Waits until every process serves callers.", &readyCommand{out: out}},
+		{"state", "dump the state of a process", "Prints the state of a process as text or JSON, once or repeatedly. ADDR is its admin address.", &stateCommand{out: out}},
+		{"explain", "explain decisions", "Prints the journals of processes: why a server was judged unhealthy, why a request was refused, and other decisions, in chronological order. Decisions about calls that a server made for a request are indented. SOURCE is the admin address of a process or, with --logs, a log file.", &explainCommand{out: out}},
+		{"settings", "show the settings in force at processes", "Prints for each process the revision in force and since when it has been in force.", &settingsCommand{out: out}},
+		{"ready", "wait until processes are ready", "Waits until every process accepts callers.", &readyCommand{out: out}},
 		{"record", "fetch recent events as a trace", "Prints the recent events of a process as a trace for slatewind replay.", &recordCommand{out: out}},
-		{"measure", "measure the policy", "Runs the policy and two baselines through scenarios in virtual time and prints detection time, false ejections and what callers get.", &measureCommand{out: out}},
-		{"report", "sum up logs", "Reads the log files of processes and prints by service and kind of route what went unserved and why, which breakers opened, extra attempts, servers not asked, and stops. With --html also as a page with plots.", &reportCommand{out: out}},
-		{"completion", "print a script for a shell that completes command lines", "Prints a script that a shell reads to complete command lines of slatewind. SHELL is bash, zsh or fish.", &completionCommand{out: out}},
-		{"digest", "digest keys of workspaces", "Reads keys from the standard input, one in a line, and prints the digest of each for the settings of its workspace.", &digestCommand{out: out}},
-		{"replay", "replay traces", "Plays traces through the decision code and compares with their stated outcomes.", &replayCommand{out: out}},
+		{"measure", "measure the policy", "Runs the policy and two baselines through scenarios in virtual time and prints detection time, false ejections and the results for callers.", &measureCommand{out: out}},
+		{"report", "summarise logs", "Reads the log files of processes and prints by service and kind of route the requests that were not served and why, breakers that opened, extra attempts, servers not asked, and stops. With --html, also writes an HTML page with plots.", &reportCommand{out: out}},
+		{"completion", "print a shell completion script", "Prints a script with which a shell completes command lines of slatewind. SHELL is bash, zsh or fish.", &completionCommand{out: out}},
+		{"digest", "digest keys of workspaces", "Reads keys from standard input, one per line, and prints the digest of each for the settings of its workspace.", &digestCommand{out: out}},
+		{"replay", "replay traces", "Replays traces through the decision code and compares the results with their expected outcomes.", &replayCommand{out: out}},
 	}
 	var group errs.Group
 	for _, c := range commands {
@@ -89,7 +89,7 @@
 type checkCommand struct {
 	out     io.Writer
 	Process bool   `long:"process" description:"the files are settings of processes"`
-	Explain string `long:"explain" description:"explain one check instead, for example SW1006" value-name:"CHECK"`
+	Explain string `long:"explain" description:"print the description of one check instead, for example SW1006" value-name:"CHECK"`
 	Args    struct {
 		Files []string `positional-arg-name:"FILE"`
 	} `positional-args:"yes"`
@@ -139,10 +139,10 @@
 			return err
 		}
 	}
-	return errs.New("slatewind check: no check is named %q", c.Explain)
+	return errs.New("slatewind check: unknown check %q", c.Explain)
 }
 
-// oneAddress is the argument of commands that ask one process.
+// oneAddress is the argument of commands that query one process.
 type oneAddress struct {
 	Address string `positional-arg-name:"ADDR" required:"yes"`
 }
@@ -183,7 +183,7 @@
 	} `positional-args:"yes"`
 }
 
-// readyPoll is the time between two questions to a process that is not ready.
+// readyPoll is the time between two queries to a process that is not ready.
 const readyPoll = 50 * time.Millisecond
 
 // Execute implements flags.Commander.
@@ -249,16 +249,16 @@
 		missed += len(report.Misses)
 	}
 	if missed > 0 {
-		return ErrFindings.New("%d stated outcome(s) missed", missed)
+		return ErrFindings.New("%d expected outcome(s) missed", missed)
 	}
 	return nil
 }
 
 type measureCommand struct {
 	out     io.Writer
-	Seeds   int     `long:"seeds" description:"how many runs of each" default:"20"`
-	Caution float64 `long:"caution" description:"use this caution, in nats, in place of the services' own"`
-	Ours    bool    `long:"ours" description:"leave the baselines out"`
+	Seeds   int     `long:"seeds" description:"number of runs per scenario and strategy" default:"20"`
+	Caution float64 `long:"caution" description:"caution in nats, overriding that of the services"`
+	Ours    bool    `long:"ours" description:"omit the baselines"`
 	CSV     bool    `long:"csv" description:"print CSV"`
 	List    bool    `long:"list" description:"list the scenarios instead"`
 	Args    struct {
@@ -280,7 +280,7 @@
 	}
 	for _, name := range c.Args.Scenarios {
 		if !measure.Known(name) {
-			return errs.New("slatewind measure: no scenario is named %q; see --list", name)
+			return errs.New("slatewind measure: unknown scenario %q; see --list", name)
 		}
 	}
 	rows := measure.Measure(measure.Options{Scenarios: c.Args.Scenarios, Seeds: c.Seeds, Caution: c.Caution, Strategies: strategies})
@@ -290,10 +290,10 @@
 	return measure.WriteTable(c.out, rows)
 }
 
-// fetchTimeout bounds one question to a process.
+// fetchTimeout bounds one query to a process.
 const fetchTimeout = 5 * time.Second
 
-// fetch asks the admin interface of a process.
+// fetch returns the response of a process's admin interface at path.
 func fetch(address, path string) ([]byte, error) {
 	client := &http.Client{Timeout: fetchTimeout}
 	response, err := client.Get("http://" + address + path)
@@ -311,7 +311,7 @@
 	return text, nil
 }
 
-// decode reads the JSON form of a value.
+// decode decodes a value from JSON.
 func decode[T any](text []byte) (T, error) {
 	var value T
 	if err := json.Unmarshal(text, &value); err != nil {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -21,7 +21,7 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// execute runs a command line and returns its output and exit code.
+// execute runs a command line and returns its output, with the error if any, and its exit code.
 func execute(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	var out bytes.Buffer
@@ -34,7 +34,7 @@
 	return out.String(), cli.ExitCode(err)
 }
 
-// fakeProcess serves an admin interface with something to tell.
+// fakeProcess serves an admin interface with two decisions and a state, and returns its address.
 func fakeProcess(t *testing.T) string {
 	t.Helper()
 	j := history.New(0, nil)
@@ -75,26 +75,26 @@
 		"check nothing":        {[]string{"check"}, "no FILE given", cli.ExitUsage},
 		"check no such file":   {[]string{"check", "nowhere.yaml"}, "no such file", cli.ExitUnreached},
 		"explain a check":      {[]string{"check", "--explain", "SW1006"}, "A floor is at most the number of servers", cli.ExitOK},
-		"explain no check":     {[]string{"check", "--explain", "SW9"}, `no check is named "SW9"`, cli.ExitUsage},
+		"explain no check":     {[]string{"check", "--explain", "SW9"}, `unknown check "SW9"`, cli.ExitUsage},
 		"state":                {[]string{"state", address}, "kassa-2     ejected", cli.ExitOK},
 		"state, watched":       {[]string{"state", "--watch", "--every", "1ms", "--times", "2", address}, "ejected", cli.ExitOK},
-		"state, never watched": {[]string{"state", "--watch", "--every", "0s", address}, "no time to wait", cli.ExitUsage},
+		"state, never watched": {[]string{"state", "--watch", "--every", "0s", address}, "must be positive", cli.ExitUsage},
 		"state as JSON":        {[]string{"state", "--json", address}, `"state": "ejected"`, cli.ExitOK},
 		"explain a server":     {[]string{"explain", address, "--server", "kassa-2"}, "eject kassa kassa-2: its score reached the threshold [chart=slow]", cli.ExitOK},
 		"explain a request":    {[]string{"explain", address, "--request", "r-1"}, "refuse kassa  r-1: the queue is full", cli.ExitOK},
-		"explain nothing":      {[]string{"explain", address, "--request", "r-9"}, "holds no such decision", cli.ExitOK},
+		"explain nothing":      {[]string{"explain", address, "--request", "r-9"}, "no matching decisions", cli.ExitOK},
 		"settings":             {[]string{"settings", address}, "vm-1  revision 7", cli.ExitOK},
 		"settings, one away":   {[]string{"settings", address, "127.0.0.1:1"}, "connection refused", cli.ExitUnreached},
 		"record":               {[]string{"record", address}, "name: recorded", cli.ExitOK},
 		"ready":                {[]string{"ready", address}, "1 process(es) ready", cli.ExitOK},
 		"not ready":            {[]string{"ready", "--within", "1ms", "127.0.0.1:1"}, "connection refused", cli.ExitUnreached},
 		"replay":               {[]string{"replay", "../testdata/traces/kassa-hang.yaml"}, "pass kassa-hang", cli.ExitOK},
-		"replay missed":        {[]string{"replay", missed}, "1 stated outcome(s) missed", cli.ExitFindings},
-		"measure unknown":      {[]string{"measure", "nothing"}, `no scenario is named "nothing"`, cli.ExitUsage},
+		"replay missed":        {[]string{"replay", missed}, "1 expected outcome(s) missed", cli.ExitFindings},
+		"measure unknown":      {[]string{"measure", "nothing"}, `unknown scenario "nothing"`, cli.ExitUsage},
 		"measure":              {[]string{"measure", "--seeds", "1", "--ours", "--csv", "hang"}, "hang,kassa,slatewind,false,", cli.ExitOK},
 		"list scenarios":       {[]string{"measure", "--list"}, "held-retry-storm", cli.ExitOK},
 		"unknown option":       {[]string{"state", "--nothing", address}, "unknown flag", cli.ExitUsage},
-		"help of one command":  {[]string{"explain", "--help"}, "why a server was judged sick", cli.ExitOK},
+		"help of one command":  {[]string{"explain", "--help"}, "why a server was judged unhealthy", cli.ExitOK},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -105,8 +105,9 @@
 	}
 }
 
-// TestStateIsWatched: each dump begins on a cleared screen, and a process that is away is told of in its place.
-func TestStateIsWatched(t *testing.T) {
+// TestStateWatch checks that each dump begins with a cleared screen, and that an error is printed in
+// place of the state of a process that cannot be reached.
+func TestStateWatch(t *testing.T) {
 	tests := map[string]struct {
 		address string
 		dump    string
--- a/cli/completion.go
+++ b/cli/completion.go
@@ -21,7 +21,7 @@
 func (c *completionCommand) Execute([]string) error {
 	script, err := completions.ReadFile("completions/slatewind." + c.Args.Shell)
 	if err != nil {
-		return errs.New("slatewind completion: no script for %q; there are some for bash, zsh and fish", c.Args.Shell)
+		return errs.New("slatewind completion: no script for %q; supported shells are bash, zsh and fish", c.Args.Shell)
 	}
 	_, err = c.out.Write(script)
 	return err
--- a/cli/completion_test.go
+++ b/cli/completion_test.go
@@ -13,7 +13,7 @@
 	"slatewind.example/slatewind/cli"
 )
 
-// completed returns what the parser offers for the last of some words.
+// completed returns the completions that the parser offers for the last word.
 func completed(t *testing.T, words ...string) []string {
 	t.Helper()
 	t.Setenv("GO_FLAGS_COMPLETION", "1")
@@ -30,7 +30,7 @@
 	return offered
 }
 
-// TestCompletion states what is offered for unfinished command lines.
+// TestCompletion checks the completions offered for incomplete command lines.
 func TestCompletion(t *testing.T) {
 	tests := map[string]struct{ words, want []string }{
 		"command":           {[]string{"re"}, []string{"ready", "record", "replay", "report"}},
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestCompletionScripts: each shell has a script, another one a clear error.
+// TestCompletionScripts checks that there is a script for each supported shell, and an error for
+// others.
 func TestCompletionScripts(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
 		script, code := execute(t, "completion", shell)
@@ -54,11 +55,12 @@
 	assert.Assert(t, strings.Contains(out, `no script for "csh"`), out)
 }
 
-// TestCompletionInBash: bash reads the script and offers what the program prints.
+// TestCompletionInBash checks that bash can read the script and offers the words that the program
+// prints.
 func TestCompletionInBash(t *testing.T) {
 	bash, err := exec.LookPath("bash")
 	if err != nil {
-		t.Skip("no bash here")
+		t.Skip("bash is not installed")
 	}
 	script, err := os.ReadFile("completions/slatewind.bash")
 	assert.NilError(t, err)
--- a/cli/digest.go
+++ b/cli/digest.go
@@ -10,8 +10,8 @@
 	"slatewind.example/slatewind/workspace"
 )
 
-// digestCommand prints the digests of keys for settings. Keys come by the standard input:
-// other users of the machine can read a command line.
+// digestCommand prints the digests of keys for settings. It reads the keys from standard input,
+// since other users of the machine can read command lines.
 type digestCommand struct {
 	out io.Writer
 	in  io.Reader
--- a/cli/digest_test.go
+++ b/cli/digest_test.go
@@ -9,7 +9,8 @@
 	"slatewind.example/slatewind/workspace"
 )
 
-// TestDigest: each line of the input is a key, and no finding repeats one.
+// TestDigest checks that each line of the input is taken as a key, and that errors do not contain
+// keys.
 func TestDigest(t *testing.T) {
 	tests := map[string]struct {
 		in, out, finding string
@@ -31,7 +32,7 @@
 			}
 			assert.ErrorContains(t, err, test.finding)
 			assert.Equal(t, ExitCode(err), ExitFindings)
-			assert.Assert(t, !strings.Contains(err.Error(), "cret"), "the key is in the error")
+			assert.Assert(t, !strings.Contains(err.Error(), "cret"), "error contains the key")
 		})
 	}
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -20,36 +20,36 @@
 	out     io.Writer
 	Service string `long:"service" description:"only decisions about this service" value-name:"NAME"`
 	Server  string `long:"server" description:"only decisions about this server" value-name:"NAME"`
-	Request string `long:"request" description:"only decisions about the request with this Slatewind-Request id, and about the calls that a server made for it" value-name:"ID"`
+	Request string `long:"request" description:"only decisions about the request with this Slatewind-Request ID and the calls that a server made for it" value-name:"ID"`
 	Logs    bool   `long:"logs" description:"read the decisions from log files"`
 	Args    struct {
 		Sources []string `positional-arg-name:"SOURCE" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. Sources that cannot be read are told at the end; the
-// decisions are those of the others.
+// Execute implements flags.Commander. It prints the decisions of all sources that can be read,
+// and returns the errors of the others.
 func (c *explainCommand) Execute([]string) error {
 	filter := history.Filter{Service: c.Service, Server: c.Server, Request: c.Request}
 	read := readJournals
 	if c.Logs {
 		read = readLogs
 	}
-	accounts, err := read(c.Args.Sources, filter)
-	return errs.Combine(writeAccounts(c.out, accounts, len(c.Args.Sources) > 1), err)
+	decisions, err := read(c.Args.Sources, filter)
+	return errs.Combine(writeDecisions(c.out, decisions, len(c.Args.Sources) > 1), err)
 }
 
-// account is a decision as the process tells it that made it.
-type account struct {
+// processDecision is a decision with the process that made it.
+type processDecision struct {
 	slatewind.Decision
 	process string
 }
 
-// mostQuestions is how many processes are asked at the same time.
-const mostQuestions = 32
+// maxParallelQueries is the number of processes that are queried at the same time.
+const maxParallelQueries = 32
 
-// readJournals asks processes for the decisions that a filter selects.
-func readJournals(addresses []string, filter history.Filter) ([]account, error) {
+// readJournals queries processes for the decisions that match a filter.
+func readJournals(addresses []string, filter history.Filter) ([]processDecision, error) {
 	query := url.Values{}
 	query.Set("service", filter.Service)
 	query.Set("server", filter.Server)
@@ -57,24 +57,24 @@
 	path := "/journal?" + query.Encode()
 
 	var mu sync.Mutex
-	var accounts []account
+	var decisions []processDecision
 	var failures errs.Group
-	var questions errgroup.Group
-	questions.SetLimit(mostQuestions)
+	var queries errgroup.Group
+	queries.SetLimit(maxParallelQueries)
 	for _, address := range addresses {
-		questions.Go(func() error {
-			decisions, err := readJournal(address, path)
+		queries.Go(func() error {
+			journal, err := readJournal(address, path)
 			mu.Lock()
 			defer mu.Unlock()
 			failures.Add(err)
-			for _, d := range decisions {
-				accounts = append(accounts, account{d, address})
+			for _, d := range journal {
+				decisions = append(decisions, processDecision{d, address})
 			}
 			return nil
 		})
 	}
-	_ = questions.Wait() // Failures are collected, since one must not end the other questions.
-	return accounts, failures.Err()
+	_ = queries.Wait() // Errors are collected in failures, since one must not end the other queries.
+	return decisions, failures.Err()
 }
 
 func readJournal(address, path string) ([]slatewind.Decision, error) {
@@ -85,9 +85,9 @@
 	return decode[[]slatewind.Decision](text)
 }
 
-// readLogs reads the decisions that a filter selects from files.
-func readLogs(files []string, filter history.Filter) ([]account, error) {
-	var accounts []account
+// readLogs reads the decisions that match a filter from log files.
+func readLogs(files []string, filter history.Filter) ([]processDecision, error) {
+	var decisions []processDecision
 	var findings logreport.Findings
 	var failures errs.Group
 	for _, file := range files {
@@ -98,7 +98,7 @@
 			case err != nil:
 				findings = append(findings, logreport.Finding{Place: place, Message: err.Error()})
 			case found && filter.Matches(d):
-				accounts = append(accounts, account{d, process})
+				decisions = append(decisions, processDecision{d, process})
 			}
 		})
 		failures.Add(ErrUnreached.Wrap(err))
@@ -106,19 +106,20 @@
 	if len(findings) > 0 {
 		failures.Add(ErrFindings.Wrap(findings))
 	}
-	return accounts, failures.Err()
+	return decisions, failures.Err()
 }
 
-// writeAccounts prints decisions in the order of time. Those about a call are indented once
-// more than those about the request that it was made for.
-func writeAccounts(out io.Writer, accounts []account, named bool) error {
-	if len(accounts) == 0 {
-		_, err := fmt.Fprintln(out, "the journal holds no such decision")
+// writeDecisions prints decisions in chronological order. Decisions about a call are indented one
+// level more than those about the request for which the call was made. named adds the names of
+// the processes.
+func writeDecisions(out io.Writer, decisions []processDecision, named bool) error {
+	if len(decisions) == 0 {
+		_, err := fmt.Fprintln(out, "no matching decisions")
 		return err
 	}
-	slices.SortStableFunc(accounts, func(a, b account) int { return a.Time.Compare(b.Time) })
-	requests := requestsOf(accounts)
-	for _, a := range accounts {
+	slices.SortStableFunc(decisions, func(a, b processDecision) int { return a.Time.Compare(b.Time) })
+	requests := requestsOf(decisions)
+	for _, a := range decisions {
 		words := []string{string(a.Kind), strings.TrimSpace(a.Service + " " + a.Server + " " + a.Request)}
 		if named {
 			words = slices.Insert(words, 0, a.process)
@@ -132,17 +133,17 @@
 	return nil
 }
 
-// requestsOf returns the ids of the requests that decisions are about.
-func requestsOf(accounts []account) []string {
+// requestsOf returns the distinct request IDs of decisions.
+func requestsOf(decisions []processDecision) []string {
 	var ids []string
-	for _, a := range accounts {
+	for _, a := range decisions {
 		ids = append(ids, a.Request)
 	}
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
 
-// callDepth returns how many of the requests a request was made for.
+// callDepth returns how many of the requests are ancestors of the request with an ID.
 func callDepth(id string, requests []string) int {
 	depth := 0
 	for _, request := range requests {
--- a/cli/explain_test.go
+++ b/cli/explain_test.go
@@ -11,7 +11,7 @@
 	"slatewind.example/slatewind/cli"
 )
 
-// TestExplainLogs compares what several logs tell about a request with what stands in testdata.
+// TestExplainLogs compares the decisions that are read from logs with golden files.
 func TestExplainLogs(t *testing.T) {
 	logs := func(names ...string) []string {
 		var files []string
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestExplainProcesses: the decisions of all processes that answer are told, and which one does not.
+// TestExplainProcesses checks that the decisions of all reachable processes are printed, with an
+// error for the one that cannot be reached.
 func TestExplainProcesses(t *testing.T) {
 	one, other := fakeProcess(t), fakeProcess(t)
 	out, code := execute(t, "explain", one, other, "127.0.0.1:1", "--request", "r-1")
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestExplainNothing: a command line without a source is wrong.
-func TestExplainNothing(t *testing.T) {
+// TestExplainWithoutSource checks that a command line without a source is invalid.
+func TestExplainWithoutSource(t *testing.T) {
 	out, code := execute(t, "explain", "--logs")
 	assert.Equal(t, code, cli.ExitUsage, out)
 }
--- a/cli/report.go
+++ b/cli/report.go
@@ -12,14 +12,14 @@
 
 type reportCommand struct {
 	out  io.Writer
-	HTML string `long:"html" description:"also write the report, with plots, as a page to this file" value-name:"FILE"`
+	HTML string `long:"html" description:"also write the report with plots as an HTML page to this file" value-name:"FILE"`
 	Args struct {
 		Logs []string `positional-arg-name:"LOG" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. Logs and lines that cannot be read are told at the
-// end; the report is about the others.
+// Execute implements flags.Commander. It reports on all logs and lines that can be read, and
+// returns the errors of the others.
 func (c *reportCommand) Execute([]string) error {
 	collector := logreport.NewCollector()
 	var group errs.Group
@@ -37,8 +37,8 @@
 	return group.Err()
 }
 
-// eachLine hands every line of a file with its place to take.
-func eachLine(file string, take func(place logreport.Place, text string)) error {
+// eachLine calls add with each line of a file and its position.
+func eachLine(file string, add func(place logreport.Place, text string)) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	reader := bufio.NewReader(f)
 	for number := 1; ; number++ {
 		text, err := reader.ReadString('\n')
-		take(logreport.Place{File: file, Line: number}, text)
+		add(logreport.Place{File: file, Line: number}, text)
 		if err == io.EOF {
 			return nil
 		}
@@ -57,7 +57,7 @@
 	}
 }
 
-// writePage writes the report as a page.
+// writePage writes the report as an HTML page to a file.
 func writePage(report *logreport.Report, file string) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/cli/report_test.go
+++ b/cli/report_test.go
@@ -11,20 +11,20 @@
 	"slatewind.example/slatewind/cli"
 )
 
-// TestReportCommand states the exit code and what is printed for logs of several sorts.
+// TestReportCommand checks the exit code and the output for valid, damaged and missing logs.
 func TestReportCommand(t *testing.T) {
 	data := filepath.Join("..", "logreport", "testdata")
-	sound, damaged, missing := filepath.Join(data, "vm-1.log"), filepath.Join(data, "damaged.log"), filepath.Join(data, "none.log")
+	valid, damaged, missing := filepath.Join(data, "vm-1.log"), filepath.Join(data, "damaged.log"), filepath.Join(data, "none.log")
 	tests := map[string]struct {
 		args []string
 		code int
 		want []string
 	}{
-		"a sound log":           {[]string{sound}, cli.ExitOK, []string{"service shop", "took 4.75s"}},
-		"a damaged one as well": {[]string{damaged, sound}, cli.ExitFindings, []string{"service shop", "took 4.75s", damaged + ":2: "}},
-		"one that is missing":   {[]string{missing, sound}, cli.ExitUnreached, []string{"service shop", missing}},
+		"valid log":             {[]string{valid}, cli.ExitOK, []string{"service shop", "took 4.75s"}},
+		"damaged and valid log": {[]string{damaged, valid}, cli.ExitFindings, []string{"service shop", "took 4.75s", damaged + ":2: "}},
+		"missing and valid log": {[]string{missing, valid}, cli.ExitUnreached, []string{"service shop", missing}},
 		"no log":                {nil, cli.ExitUsage, []string{"LOG"}},
-		"no place for the page": {[]string{"--html", filepath.Join(missing, "page.html"), sound}, cli.ExitUnreached, []string{"service shop"}},
+		"page not writable":     {[]string{"--html", filepath.Join(missing, "page.html"), valid}, cli.ExitUnreached, []string{"service shop"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestReportPage: the page is written to the file that is named.
+// TestReportPage checks that the HTML page is written to the given file.
 func TestReportPage(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "page.html")
 	out, code := execute(t, "report", "--html", page, filepath.Join("..", "logreport", "testdata", "vm-1.log"))
--- a/cli/state.go
+++ b/cli/state.go
@@ -18,13 +18,13 @@
 type stateCommand struct {
 	out   io.Writer
 	JSON  bool          `long:"json" description:"print JSON"`
-	Watch bool          `long:"watch" description:"print it again and again, until interrupted"`
+	Watch bool          `long:"watch" description:"print the state repeatedly until interrupted"`
 	Every time.Duration `long:"every" description:"with --watch, the time between two dumps" default:"1s" value-name:"TIME"`
-	Times int           `long:"times" description:"with --watch, how many dumps to print; 0 has no end" value-name:"N"`
+	Times int           `long:"times" description:"with --watch, the number of dumps to print; 0 means no limit" value-name:"N"`
 	Args  oneAddress    `positional-args:"yes"`
 }
 
-// clearScreen makes a terminal begin at its first line.
+// clearScreen moves the cursor of a terminal to the top left corner and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 // Execute implements flags.Commander.
@@ -33,15 +33,15 @@
 		return c.print()
 	}
 	if c.Every <= 0 {
-		return errs.New("slatewind state: --every %s is no time to wait", c.Every)
+		return errs.New("slatewind state: --every must be positive, got %s", c.Every)
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	return c.watch(ctx)
 }
 
-// watch prints the state again and again. A process that does not answer is told of in place
-// of its state: it may be there again the next time.
+// watch prints the state repeatedly. If the process does not respond, it prints the error and
+// goes on, since the process may respond again the next time.
 func (c *stateCommand) watch(ctx context.Context) error {
 	for printed := 1; ; printed++ {
 		if _, err := io.WriteString(c.out, clearScreen); err != nil {
@@ -79,6 +79,7 @@
 	return writeState(c.out, state)
 }
 
+// writeState prints a state as a table.
 func writeState(out io.Writer, s admin.State) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	line := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format+"\n", values...) }
@@ -94,8 +95,8 @@
 			line("\t%s\t%s\tweight %.2f\tload %.0f\t%s\t%s", server.Name, server.State, server.Weight, server.Load, server.Score, remarks(server.Leaving, server.Unreachable))
 		}
 	}
-	for _, door := range s.Sidecar.Servers {
-		line("own server\t%s\tslots %d/%d\tqueued %d\toutcomes %d\t%s", door.Server, door.InUse, door.Slots, door.Queued, door.Outcomes, door.Leaving)
+	for _, server := range s.Sidecar.Servers {
+		line("own server\t%s\tslots %d/%d\tqueued %d\toutcomes %d\t%s", server.Server, server.InUse, server.Slots, server.Queued, server.Outcomes, server.Leaving)
 	}
 	line("once\t%d records\t%d bytes of answers", s.Sidecar.OnceRecords, s.Sidecar.AnswerBytes)
 	for _, u := range s.Limits {
@@ -110,6 +111,7 @@
 	return w.Flush()
 }
 
+// remarks returns the conditions of a server that its state does not include.
 func remarks(leaving, unreachable bool) string {
 	var words []string
 	if leaving {
