--- a/outbound/acquire.go
+++ b/outbound/acquire.go
@@ -29,8 +29,8 @@
 type attemptOptions struct {
 	// tried holds the names of the servers to skip.
 	tried map[string]bool
-	// ask states whether the attempt may be sent to unhealthy servers.
-	ask breaker.Constraints
+	// constraints states whether the attempt may be sent to unhealthy servers.
+	constraints breaker.Constraints
 	// extra reports that a server has received the request before, or may still receive it.
 	extra bool
 	// retry reports that a server has received the request and gave no final response.
@@ -69,7 +69,7 @@
 	s := &slotSearch{
 		o: o, rq: rq, opts: opts, until: until, ctx: ctx, open: map[*pendingReservation]bool{}, refusals: map[inbound.Cause]int{},
 		search: search.New(search.Request{
-			Rank: rq.route.GetRank(), Constraints: opts.ask, Extra: opts.extra, Tried: opts.tried, Until: until,
+			Rank: rq.route.GetRank(), Constraints: opts.constraints, Extra: opts.extra, Tried: opts.tried, Until: until,
 			Scarce: rq.shard.deniedWithin(time.Now(), scarceAfterDenial),
 		}),
 	}
@@ -161,7 +161,7 @@
 // round asks the servers one after another, in ascending order of cost. over reports that further
 // waiting is useless.
 func (s *slotSearch) round(deadline <-chan time.Time) (slot *grantedSlot, over bool) {
-	s.opts.ask = s.search.Constraints()
+	s.opts.constraints = s.search.Constraints()
 	s.search.Begin(s.rq.shard.order(time.Now(), s.rq, s.opts))
 	s.events = make(chan event, eventBuffer)
 	s.reserveNext()
@@ -207,25 +207,25 @@
 
 // handleReply handles one reply. It returns the slot if one was granted.
 func (s *slotSearch) handleReply(e event) *grantedSlot {
-	if !s.open[e.reservation] {
+	if !s.open[e.pending] {
 		return nil
 	}
-	s.search.Replied(e.reservation.question)
+	s.search.Replied(e.pending.reservation)
 	switch {
 	case e.err != nil:
 		s.handleUnreachable(e)
-	case e.reply.GetGranted() != nil && !s.rq.shard.acceptsWork(e.reservation.server().ID()):
+	case e.reply.GetGranted() != nil && !s.rq.shard.acceptsWork(e.pending.server().ID()):
 		// The process beside the server may be partitioned and not know that the server is leaving.
 		s.declineLeaving(e)
 	case e.reply.GetGranted() != nil && s.o.outlasts(time.Now(), s.rq, e.reply.GetGranted()):
 		s.declineStopping(e)
 	case e.reply.GetGranted() != nil:
-		delete(s.open, e.reservation)
-		s.recordState(e.reservation.server().ID(), stateOf(e.reply.GetGranted()))
-		return &grantedSlot{server: e.reservation.server(), use: e.use, cancel: e.reservation.cancel}
+		delete(s.open, e.pending)
+		s.recordState(e.pending.server().ID(), stateOf(e.reply.GetGranted()))
+		return &grantedSlot{server: e.pending.server(), use: e.use, cancel: e.pending.cancel}
 	case e.reply.GetQueued() != nil:
-		s.recordState(e.reservation.server().ID(), stateOf(e.reply.GetQueued()))
-		s.reserveNextIf(s.search.Queued(e.reservation.question))
+		s.recordState(e.pending.server().ID(), stateOf(e.reply.GetQueued()))
+		s.reserveNextIf(s.search.Queued(e.pending.reservation))
 	default:
 		s.handleRefusal(e)
 	}
@@ -238,7 +238,7 @@
 	now := time.Now()
 	for p := range s.open {
 		s.end(p)
-		if p.question.Unresponsive(now) {
+		if p.reservation.Unresponsive(now) {
 			s.rq.shard.update(func(c *choice.Service) { c.NoReply(now, p.server().ID()) })
 		}
 	}
--- a/outbound/dispatch.go
+++ b/outbound/dispatch.go
@@ -158,16 +158,16 @@
 	d.active++
 	d.tries++
 	opts := attemptOptions{
-		tried: maps.Clone(d.tried), ask: d.trialOptions(), extra: d.tries > 1, retry: d.arrivals > 0,
+		tried: maps.Clone(d.tried), constraints: d.trialConstraints(), extra: d.tries > 1, retry: d.arrivals > 0,
 		onSent: func(server string) { d.sent <- server },
 	}
 	go func() { d.results <- d.o.attempt(d.ctx, d.rq, opts) }()
 }
 
-// trialOptions returns whether the attempt being started may serve as a trial of an unhealthy
+// trialConstraints returns whether the attempt being started may serve as a trial of an unhealthy
 // server: only the first attempt at a repeatable request may, and only if another attempt is left
 // after it. Scarce reports that an extra attempt was denied a short time ago.
-func (d *dispatch) trialOptions() breaker.Constraints {
+func (d *dispatch) trialConstraints() breaker.Constraints {
 	return breaker.Constraints{
 		Careful: !d.rq.repeatable() || d.tries > 1 || d.rq.attempts() < 2,
 		Scarce:  d.rq.shard.deniedWithin(time.Now(), trialPauseAfterDenial),
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -16,32 +16,32 @@
 
 // pendingReservation is a reservation without a final reply.
 type pendingReservation struct {
-	question *search.Reservation
-	cancel   context.CancelFunc
+	reservation *search.Reservation
+	cancel      context.CancelFunc
 }
 
 // server returns the server at which the reservation is made.
-func (p *pendingReservation) server() choice.Candidate { return p.question.Server }
+func (p *pendingReservation) server() choice.Candidate { return p.reservation.Server }
 
 // event is a reply to a reservation, or the error that ended the reservation.
 type event struct {
-	reservation *pendingReservation
-	use         link.Use
-	reply       *slatewindv1.UseReply
-	err         error
+	pending *pendingReservation
+	use     link.Use
+	reply   *slatewindv1.UseReply
+	err     error
 }
 
 // reserveNext makes a reservation at the next server, if there is one.
 func (s *slotSearch) reserveNext() {
 	now := time.Now()
-	question, left := s.search.Next(now, func(server choice.Candidate) bool { return s.rq.shard.excluded(now, s.rq, s.opts, server.ID()) })
+	reservation, left := s.search.Next(now, func(server choice.Candidate) bool { return s.rq.shard.excluded(now, s.rq, s.opts, server.ID()) })
 	if !left {
 		return
 	}
 	opts := s.opts
-	opts.ask = question.Constraints
+	opts.constraints = reservation.Constraints
 	ctx, cancel := context.WithCancel(s.ctx)
-	p := &pendingReservation{question: question, cancel: cancel}
+	p := &pendingReservation{reservation: reservation, cancel: cancel}
 	s.open[p] = true
 	s.rq.shard.update(func(c *choice.Service) { c.Reserved(now, p.server().ID()) })
 	go s.o.reserve(ctx, s.rq.reservation(opts, s.until), p, s.events)
@@ -59,7 +59,7 @@
 			reply, err = use.Recv()
 		}
 		select {
-		case events <- event{reservation: p, use: use, reply: reply, err: err}:
+		case events <- event{pending: p, use: use, reply: reply, err: err}:
 		case <-ctx.Done():
 			// The search has ended. Closing the stream releases a slot that was granted.
 			return
@@ -82,7 +82,7 @@
 	return &slatewindv1.Reservation{
 		Service: rq.service, Route: rq.route.GetName(), Workspace: rq.workspace.GetName(), Repeatable: rq.repeatable(), Rank: rq.rank(),
 		RemainingMs: uint32(max(rq.remaining(now), 0).Milliseconds()), PatienceMs: uint32(max(until.Sub(now), 0).Milliseconds()),
-		Careful: opts.ask.Careful, Scarce: opts.ask.Scarce, LastResort: opts.ask.LastResort, BearableTenths: uint32(min(opts.ask.MaxSuspicion, maxBearable) * tenthsPerUnit),
+		Careful: opts.constraints.Careful, Scarce: opts.constraints.Scarce, LastResort: opts.constraints.LastResort, BearableTenths: uint32(min(opts.constraints.MaxSuspicion, maxBearable) * tenthsPerUnit),
 		Begun: rq.call != nil, Extra: opts.extra, Repeat: rq.call != nil && rq.call.Repeat,
 		ExpectedMs: uint32(rq.expected().Milliseconds()), First: !rq.announced.Swap(true),
 	}
@@ -187,8 +187,8 @@
 
 // handleUnreachable ends a reservation that failed with an error.
 func (s *slotSearch) handleUnreachable(e event) {
-	s.end(e.reservation)
-	name, id := e.reservation.server().Name, e.reservation.server().ID()
+	s.end(e.pending)
+	name, id := e.pending.server().Name, e.pending.server().ID()
 	s.lastReason, s.lastServer = fmt.Sprintf("the process beside %s cannot be reached: %v", name, e.err), name
 	s.rq.shard.update(func(c *choice.Service) { c.NoReply(time.Now(), id) })
 	s.reserveNextIf(s.search.Ended())
@@ -203,15 +203,15 @@
 func (s *slotSearch) declineStopping(e event) {
 	state := stateOf(e.reply.GetGranted())
 	state.Stopping, state.BackIn = true, time.Duration(e.reply.GetGranted().GetLastsMs())*time.Millisecond
-	s.recordState(e.reservation.server().ID(), state)
+	s.recordState(e.pending.server().ID(), state)
 	s.decline(e, inbound.CauseStopping, "the process beside the server ends before this one")
 }
 
 // decline ends a granted reservation without using it, and counts it as refused.
 func (s *slotSearch) decline(e event, cause inbound.Cause, why string) {
-	s.end(e.reservation)
+	s.end(e.pending)
 	s.refusals[cause]++
-	s.lastReason, s.lastServer = fmt.Sprintf("%s: %s", cause, why), e.reservation.server().Name
+	s.lastReason, s.lastServer = fmt.Sprintf("%s: %s", cause, why), e.pending.server().Name
 	s.reserveNextIf(s.search.Ended())
 }
 
@@ -221,10 +221,10 @@
 
 // handleRefusal ends a reservation that the process beside the server refused.
 func (s *slotSearch) handleRefusal(e event) {
-	s.end(e.reservation)
+	s.end(e.pending)
 	refusal := e.reply.GetRefusal()
 	cause := inbound.Cause(refusal.GetCause())
-	name, id := e.reservation.server().Name, e.reservation.server().ID()
+	name, id := e.pending.server().Name, e.pending.server().ID()
 	s.refusals[cause]++
 	s.lastReason, s.lastServer = refusalReason(refusal), name
 	after := time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond
@@ -234,12 +234,12 @@
 	s.recordState(id, refusalStateOf(refusal))
 	switch cause {
 	case inbound.CauseUnhealthy:
-		s.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.reservation.server().Start}, refusal.GetState(), max(after, minTrialIn))
+		s.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.pending.server().Start}, refusal.GetState(), max(after, minTrialIn))
 	case inbound.CauseBudget:
 		s.rq.shard.recordDenial(time.Now())
 		s.o.meter.Denied(s.rq.service, deniedBound)
 	case inbound.CauseMoved:
 		s.rq.shard.update(func(c *choice.Service) { c.Moved(time.Now(), id) })
 	}
-	s.reserveNextIf(s.search.Refused(e.reservation.question, search.Refusal{Unhealthy: cause == inbound.CauseUnhealthy, Denied: cause == inbound.CauseBudget}))
+	s.reserveNextIf(s.search.Refused(e.pending.reservation, search.Refusal{Unhealthy: cause == inbound.CauseUnhealthy, Denied: cause == inbound.CauseBudget}))
 }
--- a/outbound/servers.go
+++ b/outbound/servers.go
@@ -65,14 +65,14 @@
 func (sh *shard) order(now time.Time, rq *request, opts attemptOptions) []choice.Candidate {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.choice.Order(now, sh.want(rq, opts))
+	return sh.choice.Order(now, sh.choiceRequest(rq, opts))
 }
 
 // excluded reports whether a server must no longer be asked.
 func (sh *shard) excluded(now time.Time, rq *request, opts attemptOptions, server string) bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.choice.Skipped(now, server, sh.want(rq, opts))
+	return sh.choice.Skipped(now, server, sh.choiceRequest(rq, opts))
 }
 
 // detailInterval is the minimum time between two surveys of a service that list the assumed state of
@@ -87,14 +87,15 @@
 	if detail {
 		sh.lastDetailed = now
 	}
-	return sh.choice.Survey(now, sh.want(rq, opts), asked, opts.tried, detail)
+	return sh.choice.Survey(now, sh.choiceRequest(rq, opts), asked, opts.tried, detail)
 }
 
-// want returns the properties of a request that affect the selection. The caller must hold sh.mu.
-func (sh *shard) want(rq *request, opts attemptOptions) choice.Request {
+// choiceRequest returns the properties of a request that affect the selection. The caller must hold
+// sh.mu.
+func (sh *shard) choiceRequest(rq *request, opts attemptOptions) choice.Request {
 	// Until the route has averages, only the size of the request itself is known.
 	bytes := max(sh.means[rq.route.GetName()].bytes, float64(len(rq.body)))
-	return choice.Request{Constraints: opts.ask, Extra: opts.extra, Bytes: bytes}
+	return choice.Request{Constraints: opts.constraints, Extra: opts.extra, Bytes: bytes}
 }
 
 // shard returns the state of a service, and creates it if it does not exist.
--- a/outbound/stop.go
+++ b/outbound/stop.go
@@ -14,8 +14,8 @@
 // Drain starts the graceful shutdown: connections to callers are closed after their current request,
 // and requests that cannot be finished in time are refused without being sent. Accepting every
 // request on an open connection would cut off those that servers are still working on at the end.
-func (o *Outbound) Drain(course drain.Schedule) {
-	o.stop.Store(&course)
+func (o *Outbound) Drain(schedule drain.Schedule) {
+	o.stop.Store(&schedule)
 }
 
 // admit reports whether a request that has just been read is accepted, given any shutdown in
