--- a/history/history.go
+++ b/history/history.go
@@ -1,6 +1,6 @@
-// Package history keeps the latest decisions of a process in bounded memory,
-// so that an operator can ask why a server was set aside or a request refused.
-// The oldest entry makes room for the newest.
+// Package history keeps the latest decisions of a process in bounded memory, so that an operator
+// can find out why a server was ejected or a request refused. The oldest entry is overwritten by
+// the newest.
 package history
 
 import (
@@ -10,11 +10,11 @@
 	"slatewind.example/slatewind"
 )
 
-// DefaultEntries is the size of a journal whose settings do not state one. At
-// about 300 bytes an entry this is some 1.2 MB.
+// DefaultEntries is the size of a journal if the settings state none. At about 300 bytes per entry
+// this is some 1.2 MB.
 const DefaultEntries = 4096
 
-// Journal is a ring of decisions, safe for use by several goroutines.
+// Journal is a ring buffer of decisions. It is safe for concurrent use.
 type Journal struct {
 	mu      sync.Mutex
 	entries []slatewind.Decision
@@ -23,8 +23,8 @@
 	onAdd   func(slatewind.Decision)
 }
 
-// New returns a journal for so many entries; zero means DefaultEntries. Each
-// added decision is also handed to onAdd, where that is not nil.
+// New returns a journal for the given number of entries; zero means DefaultEntries. onAdd is called
+// for each added decision unless it is nil.
 func New(entries int, onAdd func(slatewind.Decision)) *Journal {
 	if entries <= 0 {
 		entries = DefaultEntries
@@ -32,7 +32,7 @@
 	return &Journal{entries: make([]slatewind.Decision, entries), onAdd: onAdd}
 }
 
-// Resize changes for how many entries there is room, and keeps the newest.
+// Resize changes the number of entries, keeping the newest.
 func (j *Journal) Resize(entries int) {
 	if entries <= 0 {
 		entries = DefaultEntries
@@ -57,7 +57,7 @@
 	return slices.Concat(j.entries[j.next:], j.entries[:j.next])
 }
 
-// Add keeps a decision.
+// Add adds a decision and passes it to onAdd, outside of the lock.
 func (j *Journal) Add(d slatewind.Decision) {
 	j.mu.Lock()
 	j.entries[j.next] = d
@@ -76,7 +76,7 @@
 type Filter struct {
 	Service string
 	Server  string
-	// Request matches the calls too that a server made for the request.
+	// Request also matches the calls that a server made while it ran the request.
 	Request string
 }
 
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -10,8 +10,8 @@
 	"slatewind.example/slatewind/history"
 )
 
-// TestRing: the newest entries stay, oldest first, and a filter takes those that
-// match in every stated field.
+// TestRing checks that the newest entries are kept, oldest first, and that a filter selects those
+// that match in every field that is set.
 func TestRing(t *testing.T) {
 	added := 0
 	j := history.New(4, func(slatewind.Decision) { added++ })
@@ -40,19 +40,20 @@
 	}
 }
 
-// TestFilterOfRequest: a request's calls belong to it, ids that only begin alike don't.
+// TestFilterOfRequest checks that a request matches its own calls, but not ids that merely share
+// its prefix.
 func TestFilterOfRequest(t *testing.T) {
 	tests := map[string]struct {
 		id   string
 		want bool
 	}{
-		"itself":                {"r-1", true},
-		"call":                  {"r-1/2", true},
-		"call of a call":        {"r-1/2.1", true},
-		"digit behind it":       {"r-10", false},
-		"letter behind it":      {"r-1é", false},
-		"request it belongs to": {"r", false},
-		"no id":                 {"", false},
+		"itself":                  {"r-1", true},
+		"call":                    {"r-1/2", true},
+		"call of a call":          {"r-1/2.1", true},
+		"id followed by a digit":  {"r-10", false},
+		"id followed by a letter": {"r-1é", false},
+		"id of a caller":          {"r", false},
+		"no id":                   {"", false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestResize: a journal of another size keeps the newest decisions, in their order.
+// TestResize checks that a resized journal keeps the newest decisions in order.
 func TestResize(t *testing.T) {
 	tests := map[string]struct {
 		added, size int
@@ -94,7 +95,7 @@
 			for i := range test.size {
 				add(10 + i)
 			}
-			assert.Equal(t, len(j.Find(history.Filter{})), test.size, "it takes so many and no more")
+			assert.Equal(t, len(j.Find(history.Filter{})), test.size, "it holds exactly its size")
 		})
 	}
 }
--- a/report/report.go
+++ b/report/report.go
@@ -1,15 +1,14 @@
-// Package report keeps what processes tell one another of sick backend servers.
+// Package report keeps the reports on unhealthy backend servers that processes exchange.
 //
-// An ingress sends few requests to each of the many servers of a service, so that what it
-// heard of one itself is mostly old. The process beside a server knows whether it is sick
-// at any moment. Each process tells what it knows at first hand, of the server beside it
-// and of those that refused its requests, with its question for news of servers, which it
-// asks of a reader of its data centre anyhow, and the reader answers with what all told
-// it. So a request passes over sick servers that its process has never asked, without any
-// message of its own for that.
+// An ingress sends few requests to each of the many servers of a service, so its own observations
+// of a server are mostly outdated, while the sidecar of the server knows at any moment whether it
+// is healthy. Each process sends its first-hand reports, on its own server and on servers that
+// refused its requests, with the periodic request for server updates that it makes to a reader of
+// its data centre anyway, and the reader replies with the reports of all processes. So a request
+// avoids unhealthy servers that its process has never contacted, without any additional message.
 //
-// A report is a hint. It only changes whom a request asks first: a server that is well
-// again and still reported as sick gets its trials, and is asked as a last resort.
+// A report is a hint. It only changes the order in which servers are tried: a server that has
+// recovered but is still reported as unhealthy gets its trials, and is used as a last resort.
 package report
 
 import (
@@ -23,30 +22,30 @@
 )
 
 const (
-	// keepTime is how old a report may be that is passed on. Servers are sick for
-	// seconds, each process tells of its own server about each half second, and a report
-	// of another data centre passes two readers.
+	// keepTime is the maximum age of a report that is passed on. Servers are unhealthy for seconds,
+	// each process reports on its own server about every half second, and a report from another
+	// data centre passes through two readers.
 	keepTime = 2 * time.Second
-	// tellTime is how old a report at first hand may be that goes with a question: about
-	// the time between two questions, so that each goes with one or two.
-	tellTime = 500 * time.Millisecond
-	// mostTold and mostPassed bound the reports of a question and of a reply, about 35
-	// bytes each. A reader answers some 110 questions a second; where more servers are
-	// sick, each answer tells of others of them.
-	mostTold   = 8
-	mostPassed = 32
+	// directTime is the maximum age of a first-hand report that is sent with a request: about the
+	// interval between two requests, so that each report is sent once or twice.
+	directTime = 500 * time.Millisecond
+	// maxDirect and maxRelayed limit the reports per request and per reply, at about 35 bytes each.
+	// A reader answers some 110 requests a second; if more servers are unhealthy than fit, each
+	// reply holds a different selection of them.
+	maxDirect  = 8
+	maxRelayed = 32
 )
 
-// entry is a report and when its server's process said so.
+// entry is a report with the time at which the sidecar of the server made it.
 type entry struct {
 	report *slatewindv1.ServerReport
 	at     time.Time
-	// direct says that this process heard it from the process beside the server.
+	// direct means that this process received the report from the sidecar of the server itself.
 	direct bool
 }
 
-// Table holds the newest report of each server that is or was just sick. It is safe for
-// use by several goroutines.
+// Table holds the newest report on each server that is or recently was unhealthy. It is safe for
+// concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	entries map[string]entry
@@ -57,7 +56,7 @@
 	return &Table{entries: map[string]entry{}}
 }
 
-// Heard takes what the process beside a server told this one just now.
+// AddDirect adds the state that the sidecar of a server has just sent to this process.
 func (t *Table) Heard(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +65,7 @@
 	}, now, true})
 }
 
-// Take takes what another process told.
+// AddRelayed adds reports received from another process.
 func (t *Table) Take(now time.Time, reports []*slatewindv1.ServerReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,43 +74,42 @@
 	}
 }
 
-// Age returns how old a report was when it was told.
+// Age returns the age of a report when it was sent.
 func Age(report *slatewindv1.ServerReport) time.Duration {
 	return time.Duration(report.GetAgeMs()) * time.Millisecond
 }
 
-// put keeps an entry if it is the newest of its server and says that this is sick, or no
-// longer. What was told of an older start is not kept, and nothing of it holds for a newer
-// one. The lock is held.
+// put stores an entry if it is the newest for its server and the server is unhealthy or was known
+// as such. Reports on an older start are dropped, and a report on a newer start replaces them
+// whatever its age. The lock is held.
 func (t *Table) put(e entry) {
 	name := e.report.GetServer()
 	before, known := t.entries[name]
 	newer := e.report.GetStartUnixMillis() - before.report.GetStartUnixMillis()
-	if known && (newer < 0 || newer == 0 && !e.at.After(before.at)) || !known && !sick(e.report) {
+	if known && (newer < 0 || newer == 0 && !e.at.After(before.at)) || !known && !unhealthy(e.report) {
 		return
 	}
 	t.entries[name] = e
 }
 
-// sick reports whether a report says that its server is.
-func sick(report *slatewindv1.ServerReport) bool {
+// unhealthy reports whether a report is on an unhealthy server.
+func unhealthy(report *slatewindv1.ServerReport) bool {
 	health := report.GetState().GetHealth()
 	return health != "" && health != string(slatewind.ServerHealthy)
 }
 
-// Direct returns what goes with a question: the newest of what was heard at first hand.
+// Direct returns the reports to send with a request: recent first-hand ones.
 func (t *Table) Direct(now time.Time) []*slatewindv1.ServerReport {
-	return t.reports(now, mostTold, func(e entry) bool { return e.direct && now.Sub(e.at) <= tellTime })
+	return t.reports(now, maxDirect, func(e entry) bool { return e.direct && now.Sub(e.at) <= directTime })
 }
 
-// All returns what is passed on to whoever asks.
+// All returns the reports to send in a reply.
 func (t *Table) All(now time.Time) []*slatewindv1.ServerReport {
-	return t.reports(now, mostPassed, func(entry) bool { return true })
+	return t.reports(now, maxRelayed, func(entry) bool { return true })
 }
 
-// reports returns up to a number of the wanted reports with their ages of now, and
-// forgets those that are old.
-func (t *Table) reports(now time.Time, most int, wanted func(entry) bool) []*slatewindv1.ServerReport {
+// reports returns up to limit selected reports with their current ages, and removes expired ones.
+func (t *Table) reports(now time.Time, limit int, selected func(entry) bool) []*slatewindv1.ServerReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var reports []*slatewindv1.ServerReport
@@ -121,7 +119,7 @@
 			delete(t.entries, name)
 			continue
 		}
-		if len(reports) < most && wanted(e) {
+		if len(reports) < limit && selected(e) {
 			report := proto.CloneOf(e.report)
 			report.AgeMs = uint32(max(age, 0).Milliseconds())
 			reports = append(reports, report)
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -19,74 +19,76 @@
 	healthy = &slatewindv1.SlotState{}
 )
 
-// TestTable states what a table passes on, and what goes with a question, some time after
-// it heard of a server.
+// TestTable checks which reports a table relays and which it sends with a request, some time after
+// it received them.
 func TestTable(t *testing.T) {
 	start := time.Unix(1000, 0)
-	relayed := func(state *slatewindv1.SlotState, age time.Duration) []*slatewindv1.ServerReport {
+	fromOther := func(state *slatewindv1.SlotState, age time.Duration) []*slatewindv1.ServerReport {
 		return []*slatewindv1.ServerReport{{Server: "s", State: state, AgeMs: uint32(age.Milliseconds()), TrialInMs: 400}}
 	}
 	tests := map[string]struct {
-		hear  func(t *report.Table)
-		after time.Duration
-		// passed and told hold what the table says of the server, and how old it is.
-		passed, told string
+		receive func(t *report.Table)
+		after   time.Duration
+		// relayed and direct are the expected health, age and trial time of the server in All and
+		// Direct.
+		relayed, direct string
 	}{
-		"nothing is heard": {hear: func(*report.Table) {}},
-		"a sick server is told of and passed on": {
-			hear:  func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
-			after: 100 * ms, passed: "ejected 100 400", told: "ejected 100 400",
+		"nothing received": {receive: func(*report.Table) {}},
+		"an unhealthy server is sent and relayed": {
+			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			after:   100 * ms, relayed: "ejected 100 400", direct: "ejected 100 400",
 		},
-		"what was told before is not told again": {
-			hear:  func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
-			after: 600 * ms, passed: "ejected 600 400",
+		"a report sent before is not sent again": {
+			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			after:   600 * ms, relayed: "ejected 600 400",
 		},
-		"what is old is forgotten": {
-			hear:  func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
-			after: 2001 * ms,
+		"an old report is dropped": {
+			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			after:   2001 * ms,
 		},
-		"what others told is passed on with its age": {
-			hear:  func(t *report.Table) { t.Take(start, relayed(ejected, 300*ms)) },
-			after: 100 * ms, passed: "ejected 400 400",
+		"a report from another process is relayed with its age": {
+			receive: func(t *report.Table) { t.Take(start, fromOther(ejected, 300*ms)) },
+			after:   100 * ms, relayed: "ejected 400 400",
 		},
-		"older news change nothing": {
-			hear: func(t *report.Table) {
+		"an older report changes nothing": {
+			receive: func(t *report.Table) {
 				t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 0)
-				t.Take(start, relayed(healthy, 50*ms))
+				t.Take(start, fromOther(healthy, 50*ms))
 			},
-			passed: "ejected 0 0", told: "ejected 0 0",
+			relayed: "ejected 0 0", direct: "ejected 0 0",
 		},
-		"that a server is well again is passed on": {
-			hear: func(t *report.Table) {
-				t.Take(start.Add(-100*ms), relayed(ejected, 0))
+		"a recovery is relayed": {
+			receive: func(t *report.Table) {
+				t.Take(start.Add(-100*ms), fromOther(ejected, 0))
 				t.Heard(start, slatewind.ServerStart{Name: "s"}, healthy, 0)
 			},
-			passed: " 0 0", told: " 0 0",
+			relayed: " 0 0", direct: " 0 0",
 		},
-		"of a server that was well all the time there is nothing": {
-			hear: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, healthy, 0) },
+		"nothing is sent on a server that was always healthy": {
+			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, healthy, 0) },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := report.NewTable()
-			test.hear(table)
+			test.receive(table)
 			now := start.Add(test.after)
-			assert.Equal(t, words(table.All(now)), test.passed)
-			assert.Equal(t, words(table.Direct(now)), test.told)
+			assert.Equal(t, format(table.All(now)), test.relayed)
+			assert.Equal(t, format(table.Direct(now)), test.direct)
 		})
 	}
 }
 
-// words renders the only report there is, if any.
-func words(reports []*slatewindv1.ServerReport) string {
+// format renders the only report, if any.
+func format(reports []*slatewindv1.ServerReport) string {
 	if len(reports) == 0 {
 		return ""
 	}
 	return fmt.Sprint(reports[0].GetState().GetHealth(), " ", reports[0].GetAgeMs(), " ", reports[0].GetTrialInMs())
 }
 
-// TestTableIsBounded: however many servers are sick, a question and a reply stay small.
+// TestTableIsBounded checks that requests and replies stay small however many servers are
+// unhealthy.
 func TestTableIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := report.NewTable()
@@ -97,8 +99,8 @@
 	assert.Equal(t, len(table.All(now)), 32)
 }
 
-// TestTableOfStarts: reports of different starts of one server do not mix, whatever their
-// age: the newer start's counts.
+// TestTableOfStarts checks that reports on different starts of one server are not mixed up and that
+// those on the newer start win, whatever their age.
 func TestTableOfStarts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	of := func(start int64, state *slatewindv1.SlotState, age uint32) *slatewindv1.ServerReport {
@@ -106,14 +108,14 @@
 	}
 	tests := map[string]struct {
 		reports []*slatewindv1.ServerReport
-		// start and health are those of the report that is passed on.
+		// start and health are those of the report that is relayed.
 		start  int64
 		health string
 	}{
-		"the newer start is well":               {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, healthy, 300)}, 2, ""},
-		"the older one's sickness comes late":   {[]*slatewindv1.ServerReport{of(2, ejected, 500), of(1, healthy, 0)}, 2, "ejected"},
-		"the older one's sickness is forgotten": {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, healthy, 300), of(1, ejected, 0)}, 2, ""},
-		"both are sick":                         {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, ejected, 400)}, 2, "ejected"},
+		"the newer start is healthy":         {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, healthy, 300)}, 2, ""},
+		"the older report arrives late":      {[]*slatewindv1.ServerReport{of(2, ejected, 500), of(1, healthy, 0)}, 2, "ejected"},
+		"a repeated older report is ignored": {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, healthy, 300), of(1, ejected, 0)}, 2, ""},
+		"both are unhealthy":                 {[]*slatewindv1.ServerReport{of(1, ejected, 0), of(2, ejected, 400)}, 2, "ejected"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -1,9 +1,9 @@
-// Package workspace tells by its key which workspace sends a request.
+// Package workspace identifies the workspace that sends a request by its key.
 //
-// Keys are secrets. Settings hold their digests only, a request's key is digested as soon as
-// it is read, and neither an error nor a decision names one. A directory finds a digest in a
-// hash table. How long that takes tells nothing of a key: whoever tries keys cannot choose
-// their digests.
+// Keys are secrets. Settings hold only their digests, the key of a request is digested as soon as
+// it is read, and no error or decision contains one. A Directory looks up digests in a hash table.
+// The time of a lookup reveals nothing about a key, since whoever guesses keys cannot choose their
+// digests.
 package workspace
 
 import (
@@ -21,18 +21,19 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("workspace")
 
-// MaxKeyBytes bounds a key, so that a caller cannot have a long one digested.
+// MaxKeyBytes is the maximum length of a key, so that callers cannot cause the digesting of long
+// ones.
 const MaxKeyBytes = 256
 
-// Reasons for which a request is refused for its key. None of them holds any of the key.
+// Reasons for refusing a request because of its key. None of them contains any part of the key.
 var (
-	// ErrNoKey: the route needs a key and the request has none.
+	// ErrNoKey: the route requires a key and the request has none.
 	ErrNoKey = Error.New("the request has no key and its route is not public")
-	// ErrManyKeys: it is not clear which key counts.
+	// ErrManyKeys: the request has several keys, so it is unclear which one applies.
 	ErrManyKeys = Error.New("the request has more than one key")
-	// ErrMalformedKey: no workspace can have such a key.
+	// ErrMalformedKey: the key cannot be that of any workspace.
 	ErrMalformedKey = Error.New("the key is empty, longer than 256 bytes or not printable ASCII")
-	// ErrUnknownKey: no workspace has the key now.
+	// ErrUnknownKey: no workspace currently has the key.
 	ErrUnknownKey = Error.New("no workspace has the key")
 )
 
@@ -42,11 +43,11 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// String returns the digest in hexadecimal digits, as settings have it.
+// String returns the digest in hexadecimal, as in the settings.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads a digest of 64 hexadecimal digits. The error does not repeat the text,
-// which may be a key that was put in the wrong place.
+// ParseDigest parses a digest of 64 hexadecimal digits. The error does not contain the text, which
+// may be a key entered by mistake.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
@@ -57,7 +58,7 @@
 	return d, nil
 }
 
-// CheckKey reports whether a text may be a key: printable ASCII without blanks, at most
+// CheckKey returns an error unless the key is printable ASCII without blanks and at most
 // MaxKeyBytes long.
 func CheckKey(key string) error {
 	if key == "" || len(key) > MaxKeyBytes {
@@ -69,25 +70,24 @@
 	return nil
 }
 
-// Directory finds workspaces by the digests of their keys and by their names. It never
-// changes.
+// Directory finds workspaces by the digests of their keys and by their names. It is immutable.
 type Directory struct {
-	// required says that requests need a key but on public routes.
+	// required means that requests need a key except on public routes.
 	required bool
 	byKey    map[Digest]*slatewindv1.Workspace
 	byName   map[string]*slatewindv1.Workspace
-	// largest are the workspaces that metrics name.
+	// largest holds the workspaces that have their own label in metrics.
 	largest map[string]bool
 }
 
-// mostLabels bounds the workspaces that metrics name.
-const mostLabels = 20
+// maxLabels limits the number of workspaces with their own label in metrics.
+const maxLabels = 20
 
-// OtherLabel stands in metrics for all workspaces that they do not name.
+// OtherLabel is the label in metrics of all other workspaces.
 const OtherLabel = "other"
 
-// Label returns the name of a workspace in metrics: its own if it is one of those with the
-// highest rates.
+// Label returns the label of a workspace in metrics: its name if it has one of the highest rates,
+// or OtherLabel.
 func (d *Directory) Label(name string) string {
 	if d.largest[name] {
 		return name
@@ -101,13 +101,13 @@
 		return cmp.Compare(b.GetRate(), a.GetRate())
 	})
 	largest := map[string]bool{}
-	for _, w := range sorted[:min(len(sorted), mostLabels)] {
+	for _, w := range sorted[:min(len(sorted), maxLabels)] {
 		largest[w.GetName()] = true
 	}
 	return largest
 }
 
-// NewDirectory returns the directory of checked settings.
+// NewDirectory returns the directory of validated settings.
 func NewDirectory(fleet *slatewindv1.Fleet) *Directory {
 	d := &Directory{
 		required: fleet.GetKeysRequired() || len(fleet.GetWorkspaces()) > 0,
@@ -126,12 +126,12 @@
 	return d
 }
 
-// Named returns the workspace of a name, or nil.
+// Named returns the workspace with the given name, or nil.
 func (d *Directory) Named(name string) *slatewindv1.Workspace { return d.byName[name] }
 
-// Identify returns the workspace that sends a request with the given values of the key's
-// header field. It is nil where none is needed: settings have no workspaces, or the route is
-// public and the request has no key that is known.
+// Identify returns the workspace of a request, given the values of the header field of the key. It
+// is nil if none is needed: the settings have no workspaces, or the route is public and the request
+// has no known key.
 func (d *Directory) Identify(values []string, public bool) (*slatewindv1.Workspace, error) {
 	if !d.required {
 		return nil, nil
--- a/workspace/workspace_test.go
+++ b/workspace/workspace_test.go
@@ -10,7 +10,7 @@
 	"slatewind.example/slatewind/workspace"
 )
 
-// fleetWith returns settings of two workspaces; the first has two keys, the last none.
+// fleetWith returns settings with two workspaces; the first has two keys, the second none.
 func fleetWith() *slatewindv1.Fleet {
 	return &slatewindv1.Fleet{Workspaces: []*slatewindv1.Workspace{
 		{Name: "sellers", KeyDigests: []string{workspace.DigestOf("old").String(), workspace.DigestOf("new").String()}},
@@ -18,8 +18,8 @@
 	}}
 }
 
-// TestIdentify: one known key names its workspace; whatever else stands in the header field
-// has a clear answer, which holds none of it.
+// TestIdentify checks that a single known key identifies its workspace and that any other value of
+// the header field is refused with the right error, which does not contain the value.
 func TestIdentify(t *testing.T) {
 	tests := map[string]struct {
 		fleet  *slatewindv1.Fleet
@@ -28,23 +28,23 @@
 		name   string
 		err    error
 	}{
-		"the first key":                {values: []string{"old"}, name: "sellers"},
-		"the key that is rotated in":   {values: []string{"new"}, name: "sellers"},
-		"no key":                       {err: workspace.ErrNoKey},
-		"twice":                        {values: []string{"old", "old"}, err: workspace.ErrManyKeys},
-		"empty":                        {values: []string{""}, err: workspace.ErrMalformedKey},
-		"10 kB":                        {values: []string{strings.Repeat("old", 3400)}, err: workspace.ErrMalformedKey},
-		"not ASCII":                    {values: []string{"öld"}, err: workspace.ErrMalformedKey},
-		"a blank before it":            {values: []string{" old"}, err: workspace.ErrMalformedKey},
-		"a list":                       {values: []string{"old,new"}, err: workspace.ErrUnknownKey},
-		"a part":                       {values: []string{"ol"}, err: workspace.ErrUnknownKey},
-		"other case":                   {values: []string{"OLD"}, err: workspace.ErrUnknownKey},
-		"a digest":                     {values: []string{workspace.DigestOf("old").String()}, err: workspace.ErrUnknownKey},
-		"public, no key":               {public: true},
-		"public, a known key":          {public: true, values: []string{"old"}, name: "sellers"},
-		"public, an unknown key":       {public: true, values: []string{"other"}},
-		"no workspaces":                {fleet: &slatewindv1.Fleet{}, values: []string{"other"}},
-		"the last workspace was taken": {fleet: &slatewindv1.Fleet{KeysRequired: true}, values: []string{"old"}, err: workspace.ErrUnknownKey},
+		"the first key":                  {values: []string{"old"}, name: "sellers"},
+		"the second key":                 {values: []string{"new"}, name: "sellers"},
+		"no key":                         {err: workspace.ErrNoKey},
+		"twice":                          {values: []string{"old", "old"}, err: workspace.ErrManyKeys},
+		"empty":                          {values: []string{""}, err: workspace.ErrMalformedKey},
+		"10 kB":                          {values: []string{strings.Repeat("old", 3400)}, err: workspace.ErrMalformedKey},
+		"not ASCII":                      {values: []string{"öld"}, err: workspace.ErrMalformedKey},
+		"leading blank":                  {values: []string{" old"}, err: workspace.ErrMalformedKey},
+		"list of keys":                   {values: []string{"old,new"}, err: workspace.ErrUnknownKey},
+		"prefix of a key":                {values: []string{"ol"}, err: workspace.ErrUnknownKey},
+		"different case":                 {values: []string{"OLD"}, err: workspace.ErrUnknownKey},
+		"a digest":                       {values: []string{workspace.DigestOf("old").String()}, err: workspace.ErrUnknownKey},
+		"public, no key":                 {public: true},
+		"public, a known key":            {public: true, values: []string{"old"}, name: "sellers"},
+		"public, an unknown key":         {public: true, values: []string{"other"}},
+		"no workspaces":                  {fleet: &slatewindv1.Fleet{}, values: []string{"other"}},
+		"the last workspace was removed": {fleet: &slatewindv1.Fleet{KeysRequired: true}, values: []string{"old"}, err: workspace.ErrUnknownKey},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -61,13 +61,14 @@
 	}
 }
 
-// TestParseDigest: what is no digest is refused and not repeated.
+// TestParseDigest checks that invalid digests are refused with an error that does not contain the
+// text.
 func TestParseDigest(t *testing.T) {
 	digest := workspace.DigestOf("old").String()
 	again, err := workspace.ParseDigest(digest)
 	assert.NilError(t, err)
 	assert.Equal(t, again, workspace.DigestOf("old"))
-	for name, text := range map[string]string{"a key": "secret-key", "short": digest[2:], "long": digest + "00", "no digits": strings.Repeat("z", 64)} {
+	for name, text := range map[string]string{"a key": "secret-key", "short": digest[2:], "long": digest + "00", "not hexadecimal": strings.Repeat("z", 64)} {
 		t.Run(name, func(t *testing.T) {
 			_, err := workspace.ParseDigest(text)
 			assert.Assert(t, err != nil)
@@ -76,7 +77,7 @@
 	}
 }
 
-// FuzzIdentify: no value of the header field but a key itself names a workspace.
+// FuzzIdentify checks that only the exact keys identify a workspace.
 func FuzzIdentify(f *testing.F) {
 	for _, seed := range []string{"old", "new", "", " old", "old\n", "OLD", "old\x00", strings.Repeat("k", 300), "ö"} {
 		f.Add(seed)
