--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -87,6 +87,6 @@
 // takeReports notes what was told of sick servers.
 func (n *Node) takeReports(reports []*slatewindv1.ServerReport) {
 	now := time.Now()
-	n.reports.Take(now, reports)
+	n.reports.AddRelayed(now, reports)
 	n.outbound.ApplyReports(now, reports)
 }
--- a/outbound/outbound.go
+++ b/outbound/outbound.go
@@ -64,8 +64,8 @@
 
 // Reports receives the server states that are reported with refused reservations.
 type Reports interface {
-	// Heard records that a server is unhealthy and how long until its next trial.
-	Heard(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration)
+	// AddDirect records that a server is unhealthy and how long until its next trial.
+	AddDirect(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration)
 }
 
 // Self identifies the ingress.
--- a/outbound/outbound_test.go
+++ b/outbound/outbound_test.go
@@ -71,8 +71,8 @@
 func (m *mesh) Denied(string, string)                            {}
 func (m *mesh) Quarantined(string)                               {}
 
-// Heard implements outbound.Reports.
-func (m *mesh) Heard(time.Time, slatewind.ServerStart, *slatewindv1.SlotState, time.Duration) {}
+// AddDirect implements outbound.Reports.
+func (m *mesh) AddDirect(time.Time, slatewind.ServerStart, *slatewindv1.SlotState, time.Duration) {}
 
 // Admit implements slatewind.Limiter. No workspace of a mesh has a rate limit.
 func (m *mesh) Admit(context.Context, slatewind.WorkspaceLimit) slatewind.LimitVerdict {
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -234,7 +234,7 @@
 	s.recordState(id, refusalStateOf(refusal))
 	switch cause {
 	case inbound.CauseUnhealthy:
-		s.o.reports.Heard(time.Now(), slatewind.ServerStart{Name: name, Start: e.pending.server().Start}, refusal.GetState(), max(after, minTrialIn))
+		s.o.reports.AddDirect(time.Now(), slatewind.ServerStart{Name: name, Start: e.pending.server().Start}, refusal.GetState(), max(after, minTrialIn))
 	case inbound.CauseBudget:
 		s.rq.shard.recordDenial(time.Now())
 		s.o.meter.Denied(s.rq.service, deniedBound)
--- a/report/report.go
+++ b/report/report.go
@@ -57,7 +57,7 @@
 }
 
 // AddDirect adds the state that the sidecar of a server has just sent to this process.
-func (t *Table) Heard(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration) {
+func (t *Table) AddDirect(now time.Time, server slatewind.ServerStart, state *slatewindv1.SlotState, trialIn time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.put(entry{&slatewindv1.ServerReport{
@@ -66,7 +66,7 @@
 }
 
 // AddRelayed adds reports received from another process.
-func (t *Table) Take(now time.Time, reports []*slatewindv1.ServerReport) {
+func (t *Table) AddRelayed(now time.Time, reports []*slatewindv1.ServerReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, report := range reports {
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -35,37 +35,37 @@
 	}{
 		"nothing received": {receive: func(*report.Table) {}},
 		"an unhealthy server is sent and relayed": {
-			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			receive: func(t *report.Table) { t.AddDirect(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
 			after:   100 * ms, relayed: "ejected 100 400", direct: "ejected 100 400",
 		},
 		"a report sent before is not sent again": {
-			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			receive: func(t *report.Table) { t.AddDirect(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
 			after:   600 * ms, relayed: "ejected 600 400",
 		},
 		"an old report is dropped": {
-			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
+			receive: func(t *report.Table) { t.AddDirect(start, slatewind.ServerStart{Name: "s"}, ejected, 400*ms) },
 			after:   2001 * ms,
 		},
 		"a report from another process is relayed with its age": {
-			receive: func(t *report.Table) { t.Take(start, fromOther(ejected, 300*ms)) },
+			receive: func(t *report.Table) { t.AddRelayed(start, fromOther(ejected, 300*ms)) },
 			after:   100 * ms, relayed: "ejected 400 400",
 		},
 		"an older report changes nothing": {
 			receive: func(t *report.Table) {
-				t.Heard(start, slatewind.ServerStart{Name: "s"}, ejected, 0)
-				t.Take(start, fromOther(healthy, 50*ms))
+				t.AddDirect(start, slatewind.ServerStart{Name: "s"}, ejected, 0)
+				t.AddRelayed(start, fromOther(healthy, 50*ms))
 			},
 			relayed: "ejected 0 0", direct: "ejected 0 0",
 		},
 		"a recovery is relayed": {
 			receive: func(t *report.Table) {
-				t.Take(start.Add(-100*ms), fromOther(ejected, 0))
-				t.Heard(start, slatewind.ServerStart{Name: "s"}, healthy, 0)
+				t.AddRelayed(start.Add(-100*ms), fromOther(ejected, 0))
+				t.AddDirect(start, slatewind.ServerStart{Name: "s"}, healthy, 0)
 			},
 			relayed: " 0 0", direct: " 0 0",
 		},
 		"nothing is sent on a server that was always healthy": {
-			receive: func(t *report.Table) { t.Heard(start, slatewind.ServerStart{Name: "s"}, healthy, 0) },
+			receive: func(t *report.Table) { t.AddDirect(start, slatewind.ServerStart{Name: "s"}, healthy, 0) },
 		},
 	}
 	for name, test := range tests {
@@ -93,7 +93,7 @@
 	now := time.Unix(1000, 0)
 	table := report.NewTable()
 	for i := range 1000 {
-		table.Heard(now, slatewind.ServerStart{Name: fmt.Sprint("s-", i)}, ejected, 0)
+		table.AddDirect(now, slatewind.ServerStart{Name: fmt.Sprint("s-", i)}, ejected, 0)
 	}
 	assert.Equal(t, len(table.Direct(now)), 8)
 	assert.Equal(t, len(table.All(now)), 32)
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := report.NewTable()
 			for _, r := range test.reports {
-				table.Take(now, []*slatewindv1.ServerReport{r})
+				table.AddRelayed(now, []*slatewindv1.ServerReport{r})
 			}
 			all := table.All(now)
 			assert.Equal(t, len(all), 1)
