--- a/link/headers.go
+++ b/link/headers.go
@@ -7,16 +7,16 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// HopByHop lists the header fields, by their canonical names, that concern one
-// connection only (RFC 9110, section 7.6.1).
+// HopByHop is the set of hop-by-hop header fields, by canonical name, which must not be
+// forwarded (RFC 9110, section 7.6.1).
 var HopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 	"Proxy-Authorization": true, "Proxy-Authenticate": true,
 }
 
-// ForwardedHeaders returns the header fields that go on with a request: all but
-// those of one connection and those that are set anew.
+// ForwardedHeaders returns the header fields to forward: all but the hop-by-hop fields,
+// those that the Connection field names, and those in without, which the caller sets itself.
 func ForwardedHeaders(h http.Header, without ...string) []*slatewindv1.Header {
 	dropped := map[string]bool{}
 	for _, name := range without {
@@ -30,12 +30,13 @@
 	return list(h, func(name string) bool { return !HopByHop[name] && !dropped[name] })
 }
 
-// AllHeaders returns every header field.
+// AllHeaders returns all header fields, including the hop-by-hop ones.
 func AllHeaders(h http.Header) []*slatewindv1.Header {
 	return list(h, func(string) bool { return true })
 }
 
-// list returns the fields whose names are wanted, in no order that matters.
+// list returns the fields whose names are wanted. Fields of different names come in no
+// particular order; the values of one field keep theirs.
 func list(h http.Header, wanted func(name string) bool) []*slatewindv1.Header {
 	var fields []*slatewindv1.Header
 	for name, values := range h {
--- a/link/heartbeat.go
+++ b/link/heartbeat.go
@@ -15,86 +15,87 @@
 	"google.golang.org/grpc/status"
 )
 
-// Times of heartbeats. The library's own keepalive pings are ten seconds apart at
-// least, which is far too long for a call that waits on a connection gone silent.
+// Timing of heartbeats. They exist besides the keepalive pings of gRPC since those are at
+// least ten seconds apart, which is too long for a call that waits on a dead connection.
 const (
-	// quietTime is how long nothing may come on a connection with calls in progress
+	// idleThreshold is how long a connection with calls in progress may receive nothing
 	// before a heartbeat is sent.
-	quietTime = 350 * time.Millisecond
-	// beatTime bounds the wait for the answer of a heartbeat.
-	beatTime = 300 * time.Millisecond
-	// leastWait is the least time between two looks at a connection.
-	leastWait = 10 * time.Millisecond
+	idleThreshold = 350 * time.Millisecond
+	// heartbeatTimeout limits the wait for the response to a heartbeat.
+	heartbeatTimeout = 300 * time.Millisecond
+	// minCheckInterval is the minimum time between two checks of a connection.
+	minCheckInterval = 10 * time.Millisecond
 )
 
-// monitor ends the connection to one peer where calls are in progress on it and
-// nothing comes any more, not even answers of heartbeats. Only calls make it work: a
-// connection without any has no heartbeats.
+// monitor closes the connection to one peer when calls are in progress on it and
+// nothing is received any more, not even responses to heartbeats. Only calls
+// start heartbeats; a connection without calls has none.
 //
-// A peer that does not answer on a new connection either is frozen or dark. It keeps its
-// connection, since it may thaw and still send the answers that it has.
+// A peer that does not respond on a new connection either is suspended or unreachable. Its
+// connection is kept, since the peer may resume and still send the responses that are ready.
 type monitor struct {
 	address string
 	conn    *grpc.ClientConn
-	// heard is when something last came, in nanoseconds.
-	heard atomic.Int64
+	// lastReceived is when the peer last sent anything, in Unix nanoseconds.
+	lastReceived atomic.Int64
 
 	mu sync.Mutex
-	// calls is how many calls are in progress, and began when the last one began, in
-	// nanoseconds.
-	calls int
-	began int64
-	// watched says that a goroutine watches the connection.
+	// calls is the number of calls in progress, guarded by mu like the fields below.
+	// lastStart is when the newest call started, in Unix nanoseconds.
+	calls     int
+	lastStart int64
+	// watched reports whether a goroutine runs watch.
 	watched bool
+	// current is the newest connection, or nil before the first.
 	current net.Conn
-	// failed is why the newest connect failed, nil where it did not.
-	failed error
+	// connectErr is the error of the newest attempt to connect, or nil if it succeeded.
+	connectErr error
 }
 
-// dial makes the connection that the monitor may end.
+// dial connects to the peer and records the connection, so that the monitor can close it.
 func (m *monitor) dial(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failed = err
+	m.connectErr = err
 	if err != nil {
 		return nil, err
 	}
-	m.heard.Store(time.Now().UnixNano())
+	m.lastReceived.Store(time.Now().UnixNano())
 	m.current = conn
 	return conn, nil
 }
 
-// dialError returns why the newest connect failed, or nil where it did not.
+// dialError returns the error of the newest attempt to connect, or nil if it succeeded.
 func (m *monitor) dialError() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.failed
+	return m.connectErr
 }
 
-// beatKey is the context key of heartbeats' calls, which are not counted.
-type beatKey struct{}
+// heartbeatKey is the context key that marks heartbeats, which do not count as calls.
+type heartbeatKey struct{}
 
-// isBeat reports whether a call is a heartbeat.
-func isBeat(ctx context.Context) bool { return ctx.Value(beatKey{}) != nil }
+// isHeartbeat reports whether a call is a heartbeat.
+func isHeartbeat(ctx context.Context) bool { return ctx.Value(heartbeatKey{}) != nil }
 
-// hear notes what comes for calls and for heartbeats.
-func (m *monitor) hear(event stats.RPCStats) {
+// recordReceived updates lastReceived on anything received, for calls and for heartbeats.
+func (m *monitor) recordReceived(event stats.RPCStats) {
 	switch event.(type) {
 	case *stats.InHeader, *stats.InPayload, *stats.InTrailer:
-		m.heard.Store(time.Now().UnixNano())
+		m.lastReceived.Store(time.Now().UnixNano())
 	}
 }
 
-// note counts calls in progress.
-func (m *monitor) note(event stats.RPCStats) {
+// countCall counts the calls in progress and starts watch with the first.
+func (m *monitor) countCall(event stats.RPCStats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch event.(type) {
 	case *stats.Begin:
 		m.calls++
-		m.began = time.Now().UnixNano()
+		m.lastStart = time.Now().UnixNano()
 		if !m.watched {
 			m.watched = true
 			go m.watch()
@@ -104,60 +105,60 @@
 	}
 }
 
-// watch ends the connection when it has gone silent, until no call needs it.
+// watch closes the connection when it is dead. It returns when isDone reports true.
 func (m *monitor) watch() {
 	for !m.isDone() {
-		time.Sleep(max(quietTime-m.quiet(), leastWait))
-		silent := m.connection()
-		if m.quiet() >= quietTime && !m.answers() && m.answersElsewhere() {
-			m.cut(silent)
+		time.Sleep(max(idleThreshold-m.idleTime(), minCheckInterval))
+		dead := m.connection()
+		if m.idleTime() >= idleThreshold && !m.responds() && m.respondsOnNewConn() {
+			m.closeConn(dead)
 		}
 	}
 }
 
-// isDone reports whether no call is in progress and something has come since the last
-// one began. A call that ended without that may have been given up for the very reason
-// that the connection is silent.
+// isDone reports whether no call is in progress and something was received since the newest
+// call started. If nothing was, the call may have timed out because the connection is dead,
+// so watching goes on.
 func (m *monitor) isDone() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	done := m.calls == 0 && m.heard.Load() >= m.began
+	done := m.calls == 0 && m.lastReceived.Load() >= m.lastStart
 	m.watched = !done
 	return done
 }
 
-// quiet returns for how long nothing has come.
-func (m *monitor) quiet() time.Duration {
-	return time.Since(time.Unix(0, m.heard.Load()))
+// idleTime returns the time since anything was received.
+func (m *monitor) idleTime() time.Duration {
+	return time.Since(time.Unix(0, m.lastReceived.Load()))
 }
 
-// answers sends a heartbeat and reports whether anything came meanwhile. A peer that
-// serves no checks of its health says so, which does as well.
-func (m *monitor) answers() bool {
+// responds sends a heartbeat and reports whether anything was received meanwhile. A peer
+// without the health service returns Unimplemented, which counts as a response.
+func (m *monitor) responds() bool {
 	sent := time.Now().UnixNano()
-	return isAnswer(beat(m.conn)) || m.heard.Load() > sent
+	return isResponse(heartbeat(m.conn)) || m.lastReceived.Load() > sent
 }
 
-// answersElsewhere reports whether the peer answers a heartbeat on a new connection.
-func (m *monitor) answersElsewhere() bool {
+// respondsOnNewConn reports whether the peer responds to a heartbeat on a new connection.
+func (m *monitor) respondsOnNewConn() bool {
 	conn, err := grpc.NewClient("passthrough:///"+m.address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableServiceConfig())
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	return isAnswer(beat(conn))
+	return isResponse(heartbeat(conn))
 }
 
-// isAnswer reports whether what came of a heartbeat is an answer of the peer.
-func isAnswer(err error) bool {
+// isResponse reports whether the result of a heartbeat is a response of the peer.
+func isResponse(err error) bool {
 	code := status.Code(err)
 	return code == codes.OK || code == codes.Unimplemented
 }
 
-// beat asks a peer for a sign of life.
-func beat(conn *grpc.ClientConn) error {
-	ctx, cancel := context.WithTimeout(context.WithValue(context.Background(), beatKey{}, true), beatTime)
+// heartbeat calls the health service of a peer.
+func heartbeat(conn *grpc.ClientConn) error {
+	ctx, cancel := context.WithTimeout(context.WithValue(context.Background(), heartbeatKey{}, true), heartbeatTimeout)
 	defer cancel()
 	_, err := grpc_health_v1.NewHealthClient(conn).Check(ctx, &grpc_health_v1.HealthCheckRequest{})
 	return err
@@ -170,15 +171,15 @@
 	return m.current
 }
 
-// cut ends a silent connection, unless another has been made since; calls in progress
-// fail, the next ones make a new one.
-func (m *monitor) cut(silent net.Conn) {
+// closeConn closes a dead connection, unless a newer one has been made since. Calls in
+// progress on it fail; the next call makes a new connection.
+func (m *monitor) closeConn(dead net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if silent == nil || m.current != silent {
+	if dead == nil || m.current != dead {
 		return
 	}
-	_ = silent.Close()
-	// What comes next is another connection's.
-	m.heard.Store(time.Now().UnixNano())
+	_ = dead.Close()
+	// The next connection starts with a full idleThreshold.
+	m.lastReceived.Store(time.Now().UnixNano())
 }
--- a/link/heartbeat_test.go
+++ b/link/heartbeat_test.go
@@ -16,30 +16,30 @@
 	"slatewind.example/slatewind/link"
 )
 
-// silenceable carries connections to one address; those that are open lose everything
-// for good once they are silenced.
-type silenceable struct {
+// blackholeProxy is a TCP proxy for one address. After silence, the connections that are
+// open drop all data for good, while new ones work.
+type blackholeProxy struct {
 	net.Listener
 	to string
 
 	mu   sync.Mutex
 	open []*atomic.Bool
-	// frozen holds back everything while it is locked, on new connections too.
+	// frozen delays all data while it is locked, on new connections too.
 	frozen sync.RWMutex
 }
 
-// newSilenceable listens for an address.
-func newSilenceable(t *testing.T, to string) *silenceable {
+// newBlackholeProxy starts a proxy for an address.
+func newBlackholeProxy(t *testing.T, to string) *blackholeProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &silenceable{Listener: listener, to: to}
+	s := &blackholeProxy{Listener: listener, to: to}
 	t.Cleanup(func() { _ = listener.Close() })
 	go s.serve()
 	return s
 }
 
-func (s *silenceable) serve() {
+func (s *blackholeProxy) serve() {
 	for {
 		from, err := s.Accept()
 		if err != nil {
@@ -54,26 +54,26 @@
 		s.mu.Lock()
 		s.open = append(s.open, silent)
 		s.mu.Unlock()
-		go s.carry(from, to, silent)
-		go s.carry(to, from, silent)
+		go s.forward(from, to, silent)
+		go s.forward(to, from, silent)
 	}
 }
 
-// carry copies what comes until its source ends.
-func (s *silenceable) carry(from, to net.Conn, silent *atomic.Bool) {
-	_, _ = io.Copy(unlessSilent{to, silent, &s.frozen}, from)
+// forward copies data until its source is closed.
+func (s *blackholeProxy) forward(from, to net.Conn, silent *atomic.Bool) {
+	_, _ = io.Copy(droppingWriter{to, silent, &s.frozen}, from)
 	_ = to.Close()
 }
 
-// unlessSilent loses what is written once it is silent.
-type unlessSilent struct {
+// droppingWriter drops what is written once silent is set.
+type droppingWriter struct {
 	io.Writer
 	silent *atomic.Bool
 	frozen *sync.RWMutex
 }
 
 // Write implements io.Writer.
-func (u unlessSilent) Write(b []byte) (int, error) {
+func (u droppingWriter) Write(b []byte) (int, error) {
 	u.frozen.RLock()
 	defer u.frozen.RUnlock()
 	if u.silent.Load() {
@@ -82,8 +82,8 @@
 	return u.Writer.Write(b)
 }
 
-// silence loses all that open connections carry from now on.
-func (s *silenceable) silence() {
+// silence makes all open connections drop their data from now on.
+func (s *blackholeProxy) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, silent := range s.open {
@@ -92,13 +92,13 @@
 }
 
 // count returns how many connections were made.
-func (s *silenceable) count() int {
+func (s *blackholeProxy) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// waiting serves reservations that it answers never, and tells that they came.
+// serveWaiting serves reservations without ever answering them, and signals each on came.
 func serveWaiting(t *testing.T) (address string, came chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,7 +115,7 @@
 	return listener.Addr().String(), came
 }
 
-// reserve opens a reservation and returns where its end comes.
+// reserve opens a reservation and returns the channel that gets its error.
 func reserve(t *testing.T, pool *link.Pool, address string, came <-chan struct{}) <-chan error {
 	t.Helper()
 	use, err := pool.Use(t.Context(), address, false)
@@ -130,62 +130,63 @@
 	return ended
 }
 
-// TestSilentConnection: a call in progress over a connection that has gone silent fails
-// within a second, and the next one goes over a new connection.
+// TestSilentConnection: a call in progress on a connection that drops all data fails
+// within 1.5 s, and the next call uses a new connection.
 func TestSilentConnection(t *testing.T) {
 	address, came := serveWaiting(t)
-	way := newSilenceable(t, address)
+	proxy := newBlackholeProxy(t, address)
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
-	ended := reserve(t, pool, way.Addr().String(), came)
-	way.silence()
+	ended := reserve(t, pool, proxy.Addr().String(), came)
+	proxy.silence()
 	began := time.Now()
 	select {
 	case err := <-ended:
 		assert.Assert(t, err != nil)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the call still waits")
+		t.Fatal("call on a dead connection still in progress after 5 s")
 	}
 	took := time.Since(began)
 	assert.Assert(t, took < 1500*time.Millisecond, took)
-	reserve(t, pool, way.Addr().String(), came)
-	// The silent one, one that shows that the peer lives, and the next.
-	assert.Equal(t, way.count(), 3)
+	reserve(t, pool, proxy.Addr().String(), came)
+	// The dead one, the one that checks whether the peer responds, and the next.
+	assert.Equal(t, proxy.count(), 3)
 }
 
-// TestQuietConnection: a call that waits for long over a connection that works goes on.
+// TestQuietConnection: a call that waits long for its response on a working connection is
+// not ended.
 func TestQuietConnection(t *testing.T) {
 	address, came := serveWaiting(t)
-	way := newSilenceable(t, address)
+	proxy := newBlackholeProxy(t, address)
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
-	ended := reserve(t, pool, way.Addr().String(), came)
+	ended := reserve(t, pool, proxy.Addr().String(), came)
 	select {
 	case err := <-ended:
 		t.Fatal(err)
 	case <-time.After(2 * time.Second):
 	}
-	assert.Equal(t, way.count(), 1)
+	assert.Equal(t, proxy.count(), 1)
 }
 
-// TestSilentConnectionOfShortCalls: calls that are given up sooner than a silent
-// connection is noticed do not put that off.
+// TestSilentConnectionOfShortCalls: calls whose timeout is shorter than the detection of a
+// dead connection do not delay the detection.
 func TestSilentConnectionOfShortCalls(t *testing.T) {
 	address, came := serveWaiting(t)
-	way := newSilenceable(t, address)
+	proxy := newBlackholeProxy(t, address)
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
 	first, end := context.WithCancel(t.Context())
-	use, err := pool.Use(first, way.Addr().String(), false)
+	use, err := pool.Use(first, proxy.Addr().String(), false)
 	assert.NilError(t, err)
 	assert.NilError(t, use.Send(&slatewindv1.UseRequest{}))
 	<-came
-	way.silence()
+	proxy.silence()
 	end()
-	for began := time.Now(); way.count() == 1; {
+	for began := time.Now(); proxy.count() == 1; {
 		assert.Assert(t, time.Since(began) < 1500*time.Millisecond)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		use, err := pool.Use(ctx, way.Addr().String(), false)
+		use, err := pool.Use(ctx, proxy.Addr().String(), false)
 		if err == nil {
 			_, err = use.Recv()
 		}
@@ -194,9 +195,9 @@
 	}
 }
 
-// TestFrozenPeerKeepsItsCalls: a peer that is frozen for two seconds still answers the calls
-// that waited. It is as silent as a connection that has gone silent for good, but on new
-// connections too: to end the one it has would lose answers that are ready at the thaw.
+// TestFrozenPeerKeepsItsCalls: a peer that is suspended for two seconds still answers the
+// calls in progress. It looks like a dead connection, but does not respond on new connections
+// either; closing its connection would lose answers that are ready when it resumes.
 func TestFrozenPeerKeepsItsCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -209,16 +210,16 @@
 	}})
 	go func() { _ = server.Serve(listener) }()
 	defer server.Stop()
-	way := newSilenceable(t, listener.Addr().String())
+	proxy := newBlackholeProxy(t, listener.Addr().String())
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
-	use, err := pool.Use(t.Context(), way.Addr().String(), false)
+	use, err := pool.Use(t.Context(), proxy.Addr().String(), false)
 	assert.NilError(t, err)
 	assert.NilError(t, use.Send(&slatewindv1.UseRequest{}))
 	<-came
-	way.frozen.Lock()
+	proxy.frozen.Lock()
 	close(answer)
-	time.AfterFunc(2*time.Second, way.frozen.Unlock)
+	time.AfterFunc(2*time.Second, proxy.frozen.Unlock)
 	reply, err := use.Recv()
 	assert.NilError(t, err)
 	assert.Assert(t, reply.GetQueued() != nil)
--- a/link/limits.go
+++ b/link/limits.go
@@ -11,7 +11,8 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// Take asks the process at an IP:port address for tokens of a workspace.
+// Take requests tokens of a workspace from the process at an IP:port address. If the call
+// fails, the error also wraps that of the newest attempt to connect.
 func (p *Pool) Take(ctx context.Context, address string, q ratelimit.TokenRequest) (ratelimit.TokenReply, error) {
 	request := &slatewindv1.TakeRequest{
 		Workspace: q.Limit.Workspace, Rate: q.Limit.Rate, Burst: q.Limit.Burst, Version: q.Limit.Version,
@@ -24,32 +25,33 @@
 		return ratelimit.TokenReply{}, err
 	}
 	return ratelimit.TokenReply{
-		Tokens: int(reply.GetTokens()), Level: reply.GetLevel(), Role: roleOf(reply.GetRole()),
+		Tokens: int(reply.GetTokens()), Level: reply.GetLevel(), Role: decodeRole(reply.GetRole()),
 		Next: time.Duration(reply.GetNextNanos()), Turn: time.Duration(reply.GetTurnNanos()),
 	}, nil
 }
 
-// roleWord is a role's word in replies.
-func roleWord(role ratelimit.Role) string {
+// encodeRole returns the form of a role in replies, in which the home is the empty string.
+func encodeRole(role ratelimit.Role) string {
 	if role == ratelimit.RoleHome {
 		return ""
 	}
 	return string(role)
 }
 
-// roleOf returns the role of a word in replies.
-func roleOf(word string) ratelimit.Role {
-	if word == "" {
+// decodeRole returns the role of its form in replies.
+func decodeRole(encoded string) ratelimit.Role {
+	if encoded == "" {
 		return ratelimit.RoleHome
 	}
-	return ratelimit.Role(word)
+	return ratelimit.Role(encoded)
 }
 
 // NotRunning reports whether an error of a call proves that no process listens at the peer's
-// address.
+// address, since the connection was refused.
 func NotRunning(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// dialError returns why the newest connect to a peer failed, or nil where it did not.
+// dialError returns the error of the newest attempt to connect to a peer, or nil if it
+// succeeded.
 func (p *Pool) dialError(address string) error {
 	p.mu.Lock()
 	m := p.monitors[address]
@@ -60,31 +62,31 @@
 	return m.dialError()
 }
 
-// redial has the library connect to a peer anew at once where it waits with that: whoever asks
-// here waits by itself before it asks again.
+// redial ends the reconnect backoff of gRPC for a peer, since callers of Take have their own
+// backoff.
 func (p *Pool) redial(address string) {
 	if conn, err := p.conn(address); err == nil {
 		conn.ResetConnectBackoff()
 	}
 }
 
-// LimitsServer gives tokens of workspaces to other processes.
+// LimitsServer serves requests of other processes for tokens of workspaces.
 type LimitsServer struct {
 	slatewindv1.UnimplementedRateLimitsServer
-	// Give answers a question.
+	// Give grants tokens.
 	Give func(now time.Time, q ratelimit.TokenRequest) ratelimit.TokenReply
 }
 
 // Take implements the generated interface.
 func (s LimitsServer) Take(_ context.Context, request *slatewindv1.TakeRequest) (*slatewindv1.TakeReply, error) {
-	answer := s.Give(time.Now(), ratelimit.TokenRequest{
+	reply := s.Give(time.Now(), ratelimit.TokenRequest{
 		Limit: slatewind.WorkspaceLimit{
 			Workspace: request.GetWorkspace(), Rate: request.GetRate(), Burst: request.GetBurst(), Version: request.GetVersion(),
 		},
 		Tokens: int(request.GetTokens()), Role: ratelimit.Role(request.GetRole()),
 	})
 	return &slatewindv1.TakeReply{
-		Tokens: uint32(answer.Tokens), Level: answer.Level, NextNanos: int64(answer.Next), TurnNanos: int64(answer.Turn),
-		Role: roleWord(answer.Role),
+		Tokens: uint32(reply.Tokens), Level: reply.Level, NextNanos: int64(reply.Next), TurnNanos: int64(reply.Turn),
+		Role: encodeRole(reply.Role),
 	}, nil
 }
--- a/link/link.go
+++ b/link/link.go
@@ -1,15 +1,15 @@
-// Package link carries messages between the processes by gRPC.
+// Package link sends messages between processes over gRPC.
 //
-// Two things matter here beyond plain calls. Whether a request was ever written
-// towards a peer is known exactly, from the moment the transport takes its
-// header; if not, the request is proved not to have run. And a reply counts
-// only if it belongs to the attempt, has its stated length and its checksum.
+// It gives two guarantees beyond those of plain calls. It reports whether an attempt may
+// have been sent to a peer: this is so from the moment the transport takes the header of
+// the call, and before that moment the attempt has provably not run. And it accepts a reply
+// only if its attempt ID, length and checksum are correct.
 //
-// A connection that goes silent while calls wait on it is ended within a second
-// (monitor).
+// A connection that receives nothing while calls are in progress is closed within a second
+// (see monitor).
 //
-// Reservations of slots, and what they carry, go over one stream each (Use);
-// what the platform published goes from process to process by Since.
+// Each reservation of a slot has a stream of its own, which also carries the request and
+// its answer (Use). Processes get from each other what the platform published by Since.
 package link
 
 import (
@@ -35,51 +35,52 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("link")
 
-// Typed errors of a run.
+// Errors of ReadReply. Their texts are labels of metrics.
 var (
-	// ErrCrossed: the reply belongs to another attempt.
+	// ErrCrossed is the error of a reply that belongs to another attempt.
 	ErrCrossed = Error.New("reply belongs to another attempt")
-	// ErrBroken: the reply ended early, or its length or checksum is wrong.
+	// ErrBroken is the error of a reply that ended early, has a part out of order, or has
+	// a wrong length or checksum.
 	ErrBroken = Error.New("reply is not whole")
 )
 
-// MaxHeld is how many bytes of an answer are held until it is whole. Longer
-// answers are passed on while they come and are cut short visibly on failure.
+// MaxHeld is how many bytes of an answer are buffered until it is complete. Longer answers
+// are streamed to the caller, which sees on failure that they are truncated.
 const MaxHeld = 1 << 20
 
-// ChunkBytes is the size of the parts in which the bodies of a reservation's
-// request and answer travel.
+// ChunkBytes is the size of the chunks in which the bodies of a reservation's request and
+// answer are sent.
 const ChunkBytes = 64 << 10
 
-// MaxMessage bounds one message between processes.
+// MaxMessage limits the size of a message between processes, in bytes.
 const MaxMessage = 8 << 20
 
-// Times of a connection. An idle one is closed, so that a process keeps
-// connections only to peers that it works with.
+// Timeouts of connections. Idle ones are closed, so that a process keeps connections only
+// to the peers that it calls.
 const (
-	idleTimeout      = 5 * time.Minute
-	connectTimeout   = 1 * time.Second
-	keepaliveTime    = 10 * time.Second
-	keepaliveTimeout = 3 * time.Second
-	maxReconnect     = 1 * time.Second
-	// resetTime bounds the wait for a connection to be tried anew.
-	resetTime = 50 * time.Millisecond
+	idleTimeout       = 5 * time.Minute
+	connectTimeout    = 1 * time.Second
+	keepaliveTime     = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
+	maxReconnectDelay = 1 * time.Second
+	// reconnectWait limits how long a call waits for a new attempt to connect.
+	reconnectWait = 50 * time.Millisecond
 )
 
-// Windows of a stream and of a connection, in bytes: how much may be on its way
-// unread. They are fixed, since the library else measures them by pings, one for
-// each burst of data. A held answer fits into a stream's.
+// Flow control windows of a stream and of a connection, in bytes. They are fixed, since gRPC
+// otherwise estimates them with a ping for each burst of data. The window of a stream has
+// room for a buffered answer.
 const (
 	streamWindow = MaxHeld
 	connWindow   = 4 * MaxHeld
 )
 
-// Bounds of the server's side of a connection.
+// Limits of the server side of a connection.
 const (
-	// maxStreams bounds the calls in progress on one connection of a peer.
+	// maxStreams limits the calls in progress on one connection of a peer.
 	maxStreams = 1000
-	// minPing is the shortest interval of peers' keepalive pings.
-	minPing = 5 * time.Second
+	// minPingInterval is the shortest interval allowed for keepalive pings of peers.
+	minPingInterval = 5 * time.Second
 )
 
 // ServerOptions returns the options of the gRPC server that peers call.
@@ -89,19 +90,19 @@
 		grpc.MaxConcurrentStreams(maxStreams),
 		grpc.StaticStreamWindowSize(streamWindow),
 		grpc.StaticConnWindowSize(connWindow),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPing, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 	}
 }
 
-// Reply is what came back for an attempt.
+// Reply is the reply to an attempt.
 type Reply struct {
 	Head *slatewindv1.RunHead
 	Body []byte
-	// Digest is the sidecar's word about the server, without its name; nil where
-	// the answer was too long to hold.
+	// Digest is the state of the server as reported by its sidecar, without the name. It is
+	// nil if the answer was too long to buffer.
 	Digest *slatewindv1.Digest
-	// Rest reads what follows Body where the answer was too long to hold. It
-	// returns io.EOF only after a whole answer.
+	// Rest reads the chunks that follow Body if the answer was too long to buffer, and is
+	// nil otherwise. It returns io.EOF only after a complete answer.
 	Rest func() ([]byte, error)
 }
 
@@ -109,12 +110,14 @@
 type Pool struct {
 	traffic TrafficMeter
 
+	// mu guards the fields below, whose keys are addresses.
 	mu       sync.Mutex
 	conns    map[string]*grpc.ClientConn
 	monitors map[string]*monitor
 }
 
-// NewPool returns an empty pool that counts the bytes of its calls.
+// NewPool returns an empty pool that reports the bytes of its calls to traffic, which may be
+// nil.
 func NewPool(traffic TrafficMeter) *Pool {
 	return &Pool{traffic: traffic, conns: map[string]*grpc.ClientConn{}, monitors: map[string]*monitor{}}
 }
@@ -131,14 +134,14 @@
 	return group.Err()
 }
 
-// Len returns the number of peers with a connection.
+// Len returns the number of peers that the pool knows, connected or not.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// Prepare makes the connection to a peer known, without connecting yet.
+// Prepare adds a peer to the pool without connecting to it.
 func (p *Pool) Prepare(address string) {
 	_, _ = p.conn(address)
 }
@@ -158,11 +161,11 @@
 		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithStaticStreamWindowSize(streamWindow),
 		grpc.WithStaticConnWindowSize(connWindow),
-		grpc.WithStatsHandler(writeWatcher{p.traffic, monitor}),
+		grpc.WithStatsHandler(statsHandler{p.traffic, monitor}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessage)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnect},
+			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnectDelay},
 			MinConnectTimeout: connectTimeout,
 		}),
 	)
@@ -174,24 +177,24 @@
 	return conn, nil
 }
 
-// writtenKey is the context key of the flag that writeWatcher sets.
+// writtenKey is the context key of the *atomic.Bool that statsHandler sets.
 type writtenKey struct{}
 
-// writeWatcher notes when the header of a call is handed to the transport, counts its
-// bytes, and tells the monitor of its begin and end.
-type writeWatcher struct {
+// statsHandler records when the header of a call is passed to the transport, counts the
+// bytes of the call, and reports its start and end to the monitor.
+type statsHandler struct {
 	traffic TrafficMeter
 	monitor *monitor
 }
 
-func (writeWatcher) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (statsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-func (w writeWatcher) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	w.monitor.hear(s)
-	if isBeat(ctx) {
+func (w statsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+	w.monitor.recordReceived(s)
+	if isHeartbeat(ctx) {
 		return
 	}
-	w.monitor.note(s)
+	w.monitor.countCall(s)
 	w.traffic.count(ctx, s)
 	if _, ok := s.(*stats.OutHeader); !ok {
 		return
@@ -201,12 +204,12 @@
 	}
 }
 
-func (writeWatcher) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (statsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-func (writeWatcher) HandleConn(context.Context, stats.ConnStats) {}
+func (statsHandler) HandleConn(context.Context, stats.ConnStats) {}
 
-// Run sends an attempt to the sidecar at address. written is false only if
-// nothing was ever sent towards it.
+// Run sends an attempt to the sidecar at address. written is false only if nothing of the
+// attempt was passed to the transport.
 func (p *Pool) Run(ctx context.Context, address string, request *slatewindv1.RunRequest) (reply *Reply, written bool, err error) {
 	conn, err := p.conn(address)
 	if err != nil {
@@ -216,11 +219,10 @@
 	if err == nil || written || ctx.Err() != nil {
 		return reply, written, err
 	}
-	// The library fails calls by the memory of an earlier refusal. Whoever calls
-	// here waits by itself before it tries a peer again (package policy), so the
-	// connection is tried anew for each call.
+	// During its reconnect backoff, gRPC fails calls without trying to connect. Callers of
+	// Run have their own backoff per peer (package policy), so each call tries to connect.
 	conn.ResetConnectBackoff()
-	waiting, cancel := context.WithTimeout(ctx, resetTime)
+	waiting, cancel := context.WithTimeout(ctx, reconnectWait)
 	defer cancel()
 	conn.WaitForStateChange(waiting, connectivity.TransientFailure)
 	return run(ctx, conn, request)
@@ -237,8 +239,8 @@
 	return reply, flag.Load(), err
 }
 
-// ReadReply puts the parts of a reply together and checks that they belong to
-// the attempt and are whole.
+// ReadReply assembles the parts of a reply. It returns ErrCrossed if they belong to another
+// attempt and ErrBroken if the reply is incomplete or corrupt.
 func ReadReply(attemptID string, receive func() (*slatewindv1.RunReply, error)) (*Reply, error) {
 	part, err := receive()
 	if err != nil {
@@ -268,7 +270,7 @@
 	return reply, nil
 }
 
-// reader reads the chunks of one reply.
+// reader reads and verifies the chunks of one reply.
 type reader struct {
 	attemptID string
 	receive   func() (*slatewindv1.RunReply, error)
@@ -277,7 +279,7 @@
 	digest    *slatewindv1.Digest
 }
 
-// next returns a chunk, or io.EOF after the last of a whole reply.
+// next returns a chunk, or io.EOF after the last one of a complete reply.
 func (r *reader) next() ([]byte, error) {
 	part, err := r.receive()
 	if err != nil {
@@ -295,6 +297,7 @@
 	return chunk, nil
 }
 
+// verify checks the end of the reply and returns io.EOF if the reply is complete.
 func (r *reader) verify(end *slatewindv1.RunEnd) error {
 	if end.GetAttemptId() != r.attemptID {
 		return ErrCrossed
@@ -306,22 +309,23 @@
 	return io.EOF
 }
 
-// Cancel asks the sidecar at address not to start an attempt.
+// Cancel asks the sidecar at address to cancel an attempt that has not started yet.
 func (p *Pool) Cancel(ctx context.Context, address string, request *slatewindv1.CancelRequest) (*slatewindv1.CancelReply, error) {
 	return call(ctx, p, address, request, slatewindv1.NewSidecarClient, slatewindv1.SidecarClient.Cancel)
 }
 
-// Seal asks the sidecar at address what became of a once-request.
+// Seal asks the sidecar at address for the state of a once-request.
 func (p *Pool) Seal(ctx context.Context, address string, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
 	return call(ctx, p, address, request, slatewindv1.NewSidecarClient, slatewindv1.SidecarClient.Seal)
 }
 
-// Sync exchanges news with the process at address.
+// Sync exchanges members, server digests and the settings version with the process at
+// address.
 func (p *Pool) Sync(ctx context.Context, address string, request *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error) {
 	return call(ctx, p, address, request, slatewindv1.NewPeerClient, slatewindv1.PeerClient.Sync)
 }
 
-// Fetch gets chunks of settings from the process at address.
+// Fetch gets the missing chunks of the settings from the process at address.
 func (p *Pool) Fetch(ctx context.Context, address string, request *slatewindv1.FetchRequest) (*slatewindv1.FetchReply, error) {
 	return call(ctx, p, address, request, slatewindv1.NewPeerClient, slatewindv1.PeerClient.Fetch)
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -26,7 +26,7 @@
 	}}}
 }
 
-// TestReadReply: only a reply to the own attempt that is whole is one.
+// TestReadReply: a reply is accepted only if it belongs to the attempt and is complete.
 func TestReadReply(t *testing.T) {
 	lost := errors.New("connection lost")
 	tests := map[string]struct {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestLongReplyIsCutShortVisibly: a reply too long to hold ends with io.EOF only
-// if it is whole.
+// TestLongReplyIsCutShortVisibly: a reply that is too long to buffer ends with io.EOF only
+// if it is complete.
 func TestLongReplyIsCutShortVisibly(t *testing.T) {
 	long := string(make([]byte, link.MaxHeld+1))
 	for name, last := range map[string]*slatewindv1.RunReply{"whole": end("1", long+"abc"), "wrong": end("1", long+"ab")} {
--- a/link/settings.go
+++ b/link/settings.go
@@ -20,23 +20,22 @@
 )
 
 const (
-	// partBytes is the size of the parts in which packed settings travel.
+	// partBytes is the size of the parts in which compressed settings are sent.
 	partBytes = 16 << 10
-	// firstPartTimeout is how long a process may take to begin its answer.
+	// firstPartTimeout limits the wait for the first part.
 	firstPartTimeout = 400 * time.Millisecond
-	// partTimeout is how long the next part may take: the bytes of some other
-	// callers go first.
+	// partTimeout limits the wait for each further part. It is longer, since a part may wait
+	// for the bytes of other callers.
 	partTimeout = time.Second
-	// maxHandOvers is how many callers are given settings at once. On a narrow link
-	// more would all have them late; these few soon give them to others.
-	maxHandOvers = 3
-	// maxSettings bounds unpacked settings in bytes.
+	// maxTransfers limits the concurrent transfers of settings to callers. On a slow link
+	// more of them would all be late, while these few callers soon pass the settings on.
+	maxTransfers = 3
+	// maxSettings limits the size of decompressed settings, in bytes.
 	maxSettings = 64 << 20
 )
 
-// Settings fetches the settings of the process at an IP:port address, if they are
-// newer than a version. They are nil where they are not, or where that process
-// serves enough others already.
+// Settings fetches the settings of the process at an IP:port address if they are newer than
+// a version. It returns nil if they are not, or if maxTransfers are in progress there.
 func (p *Pool) Settings(ctx context.Context, address string, version uint64) (*slatewind.PublishedSettings, error) {
 	conn, err := p.conn(address)
 	if err != nil {
@@ -72,7 +71,7 @@
 	return unpack(first, all)
 }
 
-// unpack checks and reads packed settings.
+// unpack verifies the checksum of compressed settings and decodes them.
 func unpack(first *slatewindv1.SettingsPart, all []byte) (*slatewind.PublishedSettings, error) {
 	if xxhash.Sum64(all) != first.GetChecksum() {
 		return nil, ErrBroken
@@ -92,7 +91,7 @@
 	return &slatewind.PublishedSettings{Version: first.GetVersion(), Revision: slatewind.Revision{Era: first.GetEra(), Number: first.GetRevision()}, Fleet: fleet}, nil
 }
 
-// pack returns the settings as they travel: a Fleet, compressed by gzip.
+// pack returns the settings as they are sent: an encoded Fleet, compressed by gzip.
 func pack(settings *slatewind.PublishedSettings) ([]byte, error) {
 	text, err := proto.Marshal(settings.Fleet)
 	if err != nil {
@@ -112,17 +111,18 @@
 	return packed.Bytes(), nil
 }
 
-// packer keeps the newest settings as they travel, so that each version is packed
-// once and not for each caller.
+// packer caches the compressed form of the newest settings, so that each version is
+// compressed once and not for each caller.
 type packer struct {
+	// mu guards version and bytes.
 	mu      sync.Mutex
 	version uint64
 	bytes   []byte
-	// handOvers counts the callers that are being served.
-	handOvers atomic.Int32
+	// transfers is the number of transfers in progress.
+	transfers atomic.Int32
 }
 
-// pack returns the packed form of settings.
+// pack returns the compressed form of settings.
 func (p *packer) pack(settings *slatewind.PublishedSettings) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,8 +143,8 @@
 	if settings == nil || settings.Version <= request.GetVersion() {
 		return nil
 	}
-	defer s.packer.handOvers.Add(-1)
-	if s.packer.handOvers.Add(1) > maxHandOvers {
+	defer s.packer.transfers.Add(-1)
+	if s.packer.transfers.Add(1) > maxTransfers {
 		return nil
 	}
 	packed, err := s.packer.pack(settings)
--- a/link/settings_test.go
+++ b/link/settings_test.go
@@ -16,7 +16,7 @@
 	"slatewind.example/slatewind/link"
 )
 
-// bigFleet returns settings with many routes, whose names do not repeat.
+// bigFleet returns settings with many routes, whose names are distinct.
 func bigFleet(routes int) *slatewindv1.Fleet {
 	fleet := &slatewindv1.Fleet{}
 	for i := range routes {
@@ -28,7 +28,7 @@
 	return fleet
 }
 
-// serveNews starts a process that hands over settings.
+// serveNews serves the RPC service News and returns its address.
 func serveNews(t *testing.T, server slatewindv1.NewsServer) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -39,7 +39,7 @@
 	return listener.Addr().String()
 }
 
-// TestSettings: settings come over whole, and only if they are newer.
+// TestSettings: settings are transferred completely, and only if they are newer.
 func TestSettings(t *testing.T) {
 	fleet := bigFleet(4000)
 	newest := &slatewind.PublishedSettings{Version: 7, Revision: slatewind.Revision{Era: 2, Number: 70}, Fleet: fleet}
@@ -62,23 +62,24 @@
 	assert.Assert(t, settings == nil)
 }
 
-// spoiledNews hands over settings with a part changed on the way.
-type spoiledNews struct {
+// corruptNews sends settings with a wrong checksum. If the caller already has a version, it
+// first waits for hang to be closed.
+type corruptNews struct {
 	slatewindv1.UnimplementedNewsServer
 	hang chan struct{}
 }
 
-func (s *spoiledNews) Settings(request *slatewindv1.SettingsRequest, stream grpc.ServerStreamingServer[slatewindv1.SettingsPart]) error {
+func (s *corruptNews) Settings(request *slatewindv1.SettingsRequest, stream grpc.ServerStreamingServer[slatewindv1.SettingsPart]) error {
 	if request.GetVersion() > 0 {
 		<-s.hang
 	}
 	return stream.Send(&slatewindv1.SettingsPart{Version: 9, Checksum: 1, Packed: []byte("spoiled")})
 }
 
-// TestSettingsSpoiled: settings that are not what was sent are an error, and so is
-// a process that goes silent, after a while.
-func TestSettingsSpoiled(t *testing.T) {
-	news := &spoiledNews{hang: make(chan struct{})}
+// TestSettingsCorrupt: settings with a wrong checksum are an error, and so is a process that
+// does not respond within a time limit.
+func TestSettingsCorrupt(t *testing.T) {
+	news := &corruptNews{hang: make(chan struct{})}
 	address := serveNews(t, news)
 	defer close(news.hang)
 	pool := link.NewPool(nil)
@@ -92,9 +93,10 @@
 	assert.NilError(t, ctx.Err())
 }
 
-// TestSettingsOfSilentProcess: a process that does not begin to answer was waited for a whole second.
+// TestSettingsOfSilentProcess: the wait for a process that does not start to respond is
+// limited by the timeout of the first part and not by the longer one of further parts.
 func TestSettingsOfSilentProcess(t *testing.T) {
-	news := &spoiledNews{hang: make(chan struct{})}
+	news := &corruptNews{hang: make(chan struct{})}
 	address := serveNews(t, news)
 	defer close(news.hang)
 	pool := link.NewPool(nil)
--- a/link/suspects.go
+++ b/link/suspects.go
@@ -8,27 +8,27 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// Suspects is what two processes tell each other of requests under which servers ended.
+// Suspects is what two processes exchange about requests during which servers crashed.
 type Suspects struct {
-	// Sum is a hash of all that the sender knows.
+	// Sum is a hash of all records that the sender knows.
 	Sum     uint64
 	Records []quarantine.Record
 }
 
-// Spread tells the process at an IP:port address what has just happened.
+// Spread sends new records to the process at an IP:port address.
 func (p *Pool) Spread(ctx context.Context, address string, records []quarantine.Record) error {
-	news := &slatewindv1.SuspectsNews{Suspects: SuspectsOf(records)}
-	_, err := call(ctx, p, address, news, slatewindv1.NewNewsClient, slatewindv1.NewsClient.Suspects)
+	request := &slatewindv1.SuspectsNews{Suspects: SuspectsOf(records)}
+	_, err := call(ctx, p, address, request, slatewindv1.NewNewsClient, slatewindv1.NewsClient.Suspects)
 	return err
 }
 
 // Suspects implements the generated interface.
-func (s *NewsServer) Suspects(_ context.Context, news *slatewindv1.SuspectsNews) (*slatewindv1.SuspectsReply, error) {
-	s.Told(RecordsOf(news.GetSuspects()))
+func (s *NewsServer) Suspects(_ context.Context, request *slatewindv1.SuspectsNews) (*slatewindv1.SuspectsReply, error) {
+	s.Told(RecordsOf(request.GetSuspects()))
 	return &slatewindv1.SuspectsReply{}, nil
 }
 
-// SuspectOf translates a record for a message.
+// SuspectOf converts a record to its message.
 func SuspectOf(record quarantine.Record) *slatewindv1.Suspect {
 	suspect := &slatewindv1.Suspect{Digest: record.Digest[:]}
 	for _, e := range record.Events {
@@ -39,7 +39,7 @@
 	return suspect
 }
 
-// SuspectsOf translates records for a message.
+// SuspectsOf converts records to their messages.
 func SuspectsOf(records []quarantine.Record) []*slatewindv1.Suspect {
 	suspects := make([]*slatewindv1.Suspect, 0, len(records))
 	for _, record := range records {
@@ -48,7 +48,8 @@
 	return suspects
 }
 
-// RecordsOf translates what came in a message. What cannot be a record is left out.
+// RecordsOf converts messages to records. Messages whose digest has a wrong length are
+// left out.
 func RecordsOf(suspects []*slatewindv1.Suspect) []quarantine.Record {
 	var records []quarantine.Record
 	for _, suspect := range suspects {
--- a/link/traffic.go
+++ b/link/traffic.go
@@ -8,40 +8,43 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// Purpose says what bytes between processes are for.
+// Purpose is the purpose of a message between processes.
 type Purpose string
 
-// Purposes of bytes.
+// Purposes of messages.
 const (
 	PurposeReservation Purpose = "reservation"
-	// PurposeReply is what is said of a reservation: queued, granted or refused.
+	// PurposeReply is the state of a reservation: queued, granted or refused.
 	PurposeReply   Purpose = "reply"
 	PurposeRequest Purpose = "request"
 	PurposeAnswer  Purpose = "answer"
-	// PurposeLimit is questions for tokens of workspaces, and their answers.
+	// PurposeLimit is requests for tokens of workspaces, and the replies.
 	PurposeLimit Purpose = "limit"
-	// PurposeOther is news, and the messages of the product's own way.
+	// PurposeOther is everything else, such as updates of servers, and the services Sidecar
+	// and Peer.
 	PurposeOther Purpose = "other"
 )
 
-// Distance says where the other process stands.
+// Distance is whether the other process is in the same data centre.
 type Distance string
 
-// Distances. Only bytes to far processes are paid for.
+// Distances: near is in the same data centre, far in another one. Only traffic to far
+// processes is billed.
 const (
 	DistanceNear    Distance = "near"
 	DistanceFar     Distance = "far"
 	DistanceUnknown Distance = "unknown"
 )
 
-// TrafficMeter counts the bytes of messages between processes, both ways, at the
-// process that began the exchange. Headers of streams are not counted. A nil one
-// counts nothing.
+// TrafficMeter counts the bytes of messages between processes, in both directions, at the
+// process that made the call. Headers of streams are not counted. A nil TrafficMeter counts
+// nothing.
 type TrafficMeter func(purpose Purpose, distance Distance, bytes int)
 
 // distanceKey is the context key of a call's Distance.
 type distanceKey struct{}
 
+// withDistance returns the context of a call with its distance.
 func withDistance(ctx context.Context, far bool) context.Context {
 	distance := DistanceNear
 	if far {
@@ -50,7 +53,7 @@
 	return context.WithValue(ctx, distanceKey{}, distance)
 }
 
-// count counts the bytes of one message of a call, if the event is one.
+// count counts the bytes of a message if the event is the sending or receiving of one.
 func (m TrafficMeter) count(ctx context.Context, event stats.RPCStats) {
 	if m == nil {
 		return
@@ -67,7 +70,7 @@
 	}
 }
 
-// purposeOf returns what a message is for.
+// purposeOf returns the purpose of a message.
 func purposeOf(message any) Purpose {
 	switch part := message.(type) {
 	case *slatewindv1.UseRequest:
--- a/link/traffic_test.go
+++ b/link/traffic_test.go
@@ -15,17 +15,17 @@
 	"slatewind.example/slatewind/link"
 )
 
-// counted is what was counted for one purpose and distance.
+// counted is the key of a count of bytes.
 type counted struct {
 	purpose  link.Purpose
 	distance link.Distance
 }
 
-// prefixBytes is what gRPC sends before each message.
+// prefixBytes is the length of the prefix that gRPC sends before each message.
 const prefixBytes = 5
 
-// TestTraffic: the bytes of an exchange are counted by what they are for and by
-// where the other process stands, as many as the messages have.
+// TestTraffic: the bytes of messages are counted by purpose and distance, with the sizes
+// that the messages have on the wire.
 func TestTraffic(t *testing.T) {
 	reservation := &slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Reservation{Reservation: &slatewindv1.Reservation{Service: "s"}}}
 	request := &slatewindv1.UseRequest{Part: &slatewindv1.UseRequest_Request{Request: &slatewindv1.SlotRequest{Method: "GET"}}}
--- a/link/use.go
+++ b/link/use.go
@@ -9,24 +9,24 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// Use is the ingress's end of one reservation. It ends with the context that it
-// was begun with: a slot that is held is given back, and a reservation that was
-// never followed by a request proves that nothing ran.
+// Use is the ingress's side of one reservation. It ends with the context that it was
+// opened with. A slot that it holds is then released. If no request was sent after the
+// reservation, nothing has run.
 type Use interface {
 	Send(*slatewindv1.UseRequest) error
-	// Recv returns io.EOF after the last part.
+	// Recv returns the next part of the reply, and io.EOF after the last one.
 	Recv() (*slatewindv1.UseReply, error)
 }
 
-// UseStream is the sidecar's end of one reservation.
+// UseStream is the sidecar's side of one reservation.
 type UseStream interface {
 	Context() context.Context
 	Send(*slatewindv1.UseReply) error
 	Recv() (*slatewindv1.UseRequest, error)
 }
 
-// Use opens a stream for a reservation to the process at an IP:port address; far
-// says that it stands in another data centre. The caller ends it through ctx.
+// Use opens a stream for a reservation to the process at an IP:port address. far reports
+// whether that process is in another data centre. The caller ends the stream by cancelling ctx.
 func (p *Pool) Use(ctx context.Context, address string, far bool) (Use, error) {
 	conn, err := p.conn(address)
 	if err != nil {
@@ -40,8 +40,9 @@
 	return stream, nil
 }
 
-// LocalUse begins a reservation at this process's own server: the same messages
-// without a connection. serve runs until it returns or ctx ends its stream.
+// LocalUse opens a reservation at the server beside this process. The messages are the same
+// as those of Pool.Use, but go through channels. serve runs in a goroutine; after ctx ends,
+// the methods of its stream fail.
 func LocalUse(ctx context.Context, serve func(UseStream) error) Use {
 	l := &localUse{
 		ctx:      ctx,
@@ -55,12 +56,12 @@
 	return l
 }
 
-// localUse joins both ends by channels.
+// localUse connects both sides by channels.
 type localUse struct {
 	ctx      context.Context
 	requests chan *slatewindv1.UseRequest
 	replies  chan *slatewindv1.UseReply
-	// err is set before replies is closed.
+	// err is the result of serve. It is set before replies is closed.
 	err error
 }
 
@@ -90,7 +91,7 @@
 	}
 }
 
-// localStream is the other end of a localUse.
+// localStream is the sidecar's side of a localUse.
 type localStream struct{ *localUse }
 
 // Context implements UseStream.
@@ -119,7 +120,7 @@
 // SlotsServer serves reservations to other processes.
 type SlotsServer struct {
 	slatewindv1.UnimplementedSlotsServer
-	// Serve handles one reservation until its end.
+	// Serve handles one reservation; the stream ends when it returns.
 	Serve func(UseStream) error
 }
 
