--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -184,7 +184,7 @@
 	p.peers = grpc.NewServer(link.ServerOptions()...)
 	slatewindv1.RegisterSidecarServer(p.peers, sidecarServer{sidecar: p.sidecar})
 	slatewindv1.RegisterPeerServer(p.peers, peerServer{gossip: p.gossip})
-	slatewindv1.RegisterRateLimitsServer(p.peers, link.LimitsServer{Give: p.limiter.Grant})
+	slatewindv1.RegisterRateLimitsServer(p.peers, link.LimitsServer{Grant: p.limiter.Grant})
 	return serveAll(p.logger, []service{
 		{"callers", p.settings.GetIngressAddress(), p.callers.Serve},
 		{"peers", p.settings.GetPeerAddress(), p.peers.Serve},
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -117,8 +117,8 @@
 	n.admin = &http.Server{Handler: admin.NewHandler(n.sources()), ReadHeaderTimeout: readHeaderTimeout}
 	n.peers = grpc.NewServer(link.ServerOptions()...)
 	slatewindv1.RegisterSlotsServer(n.peers, link.SlotsServer{Serve: n.inbound.Serve})
-	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Give: n.limiter.Grant})
-	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{Known: n.since, Exchange: n.exchange, Told: n.told, Newest: n.feed.Current})
+	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Grant: n.limiter.Grant})
+	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{UpdateSince: n.since, Exchange: n.exchange, ReceiveSuspects: n.told, CurrentSettings: n.feed.Current})
 	return serveAll(n.logger, []service{
 		{"callers", n.settings.GetIngressAddress(), n.callers.Serve},
 		{"ready", n.settings.GetReadyAddress(), n.ready.Serve},
--- a/daemon/nodepeers.go
+++ b/daemon/nodepeers.go
@@ -37,7 +37,7 @@
 		return slatewind.ServerUpdate{}, err
 	}
 	own := p.node.inbound.Report()
-	news, answer, err := p.node.pool.Since(ctx, peer, after, version, link.Told{Reports: append(told, own), Suspects: p.node.tellsSuspects()})
+	news, answer, err := p.node.pool.Since(ctx, peer, after, version, link.Observations{Reports: append(told, own), Suspects: p.node.tellsSuspects()})
 	p.node.takeReports(append(answer.Reports, own))
 	if err == nil {
 		p.node.takeSuspects(answer.Suspects)
@@ -76,9 +76,9 @@
 
 // exchange takes what another node told and returns what is known here, the report of the own
 // server included.
-func (n *Node) exchange(told link.Told) link.Told {
+func (n *Node) exchange(told link.Observations) link.Observations {
 	n.takeReports(append(told.Reports, n.inbound.Report()))
-	return link.Told{Reports: n.reports.All(time.Now()), Suspects: n.exchangeSuspects(told.Suspects)}
+	return link.Observations{Reports: n.reports.All(time.Now()), Suspects: n.exchangeSuspects(told.Suspects)}
 }
 
 // told takes what has just happened beside another node.
--- a/daemon/nodequarantine.go
+++ b/daemon/nodequarantine.go
@@ -90,7 +90,7 @@
 	peer, err := s.node.peerOf(address)
 	for attempt := 1; err == nil; attempt++ {
 		tried, cancel := context.WithTimeout(ctx, spreadTime)
-		failed := s.node.pool.Spread(tried, peer, records)
+		failed := s.node.pool.SendSuspects(tried, peer, records)
 		cancel()
 		if failed == nil {
 			return
--- a/inbound/answer.go
+++ b/inbound/answer.go
@@ -28,12 +28,12 @@
 	}
 	// If the server's answer is truncated while it is still buffered here, the request counts as
 	// failed: nothing of the answer has been sent yet.
-	body, err := io.ReadAll(io.LimitReader(answer.Body, link.MaxHeld+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, link.MaxBufferedBytes+1))
 	if err != nil {
 		return u.fail(ctx, true, err)
 	}
 	head := &slatewindv1.AnswerHead{Status: int32(answer.StatusCode), Headers: link.AllHeaders(answer.Header)}
-	if len(body) <= link.MaxHeld {
+	if len(body) <= link.MaxBufferedBytes {
 		answer.Close()
 		u.completed(answer.StatusCode)
 		return u.sendAnswer(head, body, nil)
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -171,7 +171,7 @@
 // asks the sidecar not to start the attempt; only the sidecar's confirmation
 // proves that it was not started.
 func (in *Ingress) cancelAttempt(ctx context.Context, rq *request, a *attempt, address string, cause error) attemptResult {
-	if errors.Is(cause, link.ErrCrossed) || errors.Is(cause, link.ErrBroken) {
+	if errors.Is(cause, link.ErrAttemptMismatch) || errors.Is(cause, link.ErrCorrupt) {
 		in.meter.Dropped(rq.service.GetName(), cause.Error())
 		in.journal.Add(slatewind.Decision{
 			Time: time.Now(), Kind: slatewind.DecisionDropReply, Service: rq.service.GetName(),
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -84,7 +84,7 @@
 	case refuses:
 		head.Outcome, head.Reason, head.RetryAfterNanos = string(slatewind.OutcomeNotRun), "the queue is full", int64(300*time.Millisecond)
 	case crosses:
-		return nil, true, link.ErrCrossed
+		return nil, true, link.ErrAttemptMismatch
 	case unreached:
 		return nil, false, errors.New("connection refused")
 	default:
--- a/link/limits.go
+++ b/link/limits.go
@@ -73,13 +73,13 @@
 // LimitsServer serves requests of other processes for tokens of workspaces.
 type LimitsServer struct {
 	slatewindv1.UnimplementedRateLimitsServer
-	// Give grants tokens.
-	Give func(now time.Time, q ratelimit.TokenRequest) ratelimit.TokenReply
+	// Grant grants tokens.
+	Grant func(now time.Time, q ratelimit.TokenRequest) ratelimit.TokenReply
 }
 
 // Take implements the generated interface.
 func (s LimitsServer) Take(_ context.Context, request *slatewindv1.TakeRequest) (*slatewindv1.TakeReply, error) {
-	reply := s.Give(time.Now(), ratelimit.TokenRequest{
+	reply := s.Grant(time.Now(), ratelimit.TokenRequest{
 		Limit: slatewind.WorkspaceLimit{
 			Workspace: request.GetWorkspace(), Rate: request.GetRate(), Burst: request.GetBurst(), Version: request.GetVersion(),
 		},
--- a/link/link.go
+++ b/link/link.go
@@ -37,16 +37,16 @@
 
 // Errors of ReadReply. Their texts are labels of metrics.
 var (
-	// ErrCrossed is the error of a reply that belongs to another attempt.
-	ErrCrossed = Error.New("reply belongs to another attempt")
-	// ErrBroken is the error of a reply that ended early, has a part out of order, or has
+	// ErrAttemptMismatch is the error of a reply that belongs to another attempt.
+	ErrAttemptMismatch = Error.New("reply belongs to another attempt")
+	// ErrCorrupt is the error of a reply that ended early, has a part out of order, or has
 	// a wrong length or checksum.
-	ErrBroken = Error.New("reply is not whole")
+	ErrCorrupt = Error.New("reply is not whole")
 )
 
-// MaxHeld is how many bytes of an answer are buffered until it is complete. Longer answers
+// MaxBufferedBytes is how many bytes of an answer are buffered until it is complete. Longer answers
 // are streamed to the caller, which sees on failure that they are truncated.
-const MaxHeld = 1 << 20
+const MaxBufferedBytes = 1 << 20
 
 // ChunkBytes is the size of the chunks in which the bodies of a reservation's request and
 // answer are sent.
@@ -71,8 +71,8 @@
 // otherwise estimates them with a ping for each burst of data. The window of a stream has
 // room for a buffered answer.
 const (
-	streamWindow = MaxHeld
-	connWindow   = 4 * MaxHeld
+	streamWindow = MaxBufferedBytes
+	connWindow   = 4 * MaxBufferedBytes
 )
 
 // Limits of the server side of a connection.
@@ -239,8 +239,8 @@
 	return reply, flag.Load(), err
 }
 
-// ReadReply assembles the parts of a reply. It returns ErrCrossed if they belong to another
-// attempt and ErrBroken if the reply is incomplete or corrupt.
+// ReadReply assembles the parts of a reply. It returns ErrAttemptMismatch if they belong to another
+// attempt and ErrCorrupt if the reply is incomplete or corrupt.
 func ReadReply(attemptID string, receive func() (*slatewindv1.RunReply, error)) (*Reply, error) {
 	part, err := receive()
 	if err != nil {
@@ -248,14 +248,14 @@
 	}
 	head := part.GetHead()
 	if head == nil {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	if head.GetAttemptId() != attemptID {
-		return nil, ErrCrossed
+		return nil, ErrAttemptMismatch
 	}
 	r := &reader{attemptID: attemptID, receive: receive, sum: xxhash.New()}
 	reply := &Reply{Head: head}
-	for len(reply.Body) <= MaxHeld {
+	for len(reply.Body) <= MaxBufferedBytes {
 		chunk, err := r.next()
 		if errors.Is(err, io.EOF) {
 			reply.Digest = r.digest
@@ -283,14 +283,14 @@
 func (r *reader) next() ([]byte, error) {
 	part, err := r.receive()
 	if err != nil {
-		return nil, errs.Combine(ErrBroken, err)
+		return nil, errs.Combine(ErrCorrupt, err)
 	}
 	if end := part.GetEnd(); end != nil {
 		return nil, r.verify(end)
 	}
 	chunk := part.GetChunk()
 	if chunk == nil {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	_, _ = r.sum.Write(chunk)
 	r.length += int64(len(chunk))
@@ -300,10 +300,10 @@
 // verify checks the end of the reply and returns io.EOF if the reply is complete.
 func (r *reader) verify(end *slatewindv1.RunEnd) error {
 	if end.GetAttemptId() != r.attemptID {
-		return ErrCrossed
+		return ErrAttemptMismatch
 	}
 	if end.GetLength() != r.length || end.GetChecksum() != r.sum.Sum64() {
-		return ErrBroken
+		return ErrCorrupt
 	}
 	r.digest = end.GetDigest()
 	return io.EOF
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -36,17 +36,17 @@
 	}{
 		"whole":                  {parts: []*slatewindv1.RunReply{head("1"), chunk("ab"), chunk("c"), end("1", "abc")}, body: "abc"},
 		"empty":                  {parts: []*slatewindv1.RunReply{head("1"), end("1", "")}},
-		"another's":              {parts: []*slatewindv1.RunReply{head("2"), end("2", "")}, err: link.ErrCrossed},
-		"another's head":         {parts: []*slatewindv1.RunReply{head("2"), chunk("abc"), end("1", "abc")}, err: link.ErrCrossed},
-		"another's end":          {parts: []*slatewindv1.RunReply{head("1"), chunk("abc"), end("2", "abc")}, err: link.ErrCrossed},
-		"cut off":                {parts: []*slatewindv1.RunReply{head("1"), chunk("ab")}, err: link.ErrBroken},
-		"a chunk missing":        {parts: []*slatewindv1.RunReply{head("1"), chunk("ab"), end("1", "abc")}, err: link.ErrBroken},
-		"a chunk doubled":        {parts: []*slatewindv1.RunReply{head("1"), chunk("ab"), chunk("ab"), end("1", "ab")}, err: link.ErrBroken},
-		"another text":           {parts: []*slatewindv1.RunReply{head("1"), chunk("abd"), end("1", "abc")}, err: link.ErrBroken},
-		"a second head":          {parts: []*slatewindv1.RunReply{head("1"), head("1"), end("1", "")}, err: link.ErrBroken},
-		"no head":                {parts: []*slatewindv1.RunReply{chunk("abc"), end("1", "abc")}, err: link.ErrBroken},
+		"another's":              {parts: []*slatewindv1.RunReply{head("2"), end("2", "")}, err: link.ErrAttemptMismatch},
+		"another's head":         {parts: []*slatewindv1.RunReply{head("2"), chunk("abc"), end("1", "abc")}, err: link.ErrAttemptMismatch},
+		"another's end":          {parts: []*slatewindv1.RunReply{head("1"), chunk("abc"), end("2", "abc")}, err: link.ErrAttemptMismatch},
+		"cut off":                {parts: []*slatewindv1.RunReply{head("1"), chunk("ab")}, err: link.ErrCorrupt},
+		"a chunk missing":        {parts: []*slatewindv1.RunReply{head("1"), chunk("ab"), end("1", "abc")}, err: link.ErrCorrupt},
+		"a chunk doubled":        {parts: []*slatewindv1.RunReply{head("1"), chunk("ab"), chunk("ab"), end("1", "ab")}, err: link.ErrCorrupt},
+		"another text":           {parts: []*slatewindv1.RunReply{head("1"), chunk("abd"), end("1", "abc")}, err: link.ErrCorrupt},
+		"a second head":          {parts: []*slatewindv1.RunReply{head("1"), head("1"), end("1", "")}, err: link.ErrCorrupt},
+		"no head":                {parts: []*slatewindv1.RunReply{chunk("abc"), end("1", "abc")}, err: link.ErrCorrupt},
 		"nothing came back":      {err: lost},
-		"nothing after the head": {parts: []*slatewindv1.RunReply{head("1")}, err: link.ErrBroken},
+		"nothing after the head": {parts: []*slatewindv1.RunReply{head("1")}, err: link.ErrCorrupt},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 // TestLongReplyIsCutShortVisibly: a reply that is too long to buffer ends with io.EOF only
 // if it is complete.
 func TestLongReplyIsCutShortVisibly(t *testing.T) {
-	long := string(make([]byte, link.MaxHeld+1))
+	long := string(make([]byte, link.MaxBufferedBytes+1))
 	for name, last := range map[string]*slatewindv1.RunReply{"whole": end("1", long+"abc"), "wrong": end("1", long+"ab")} {
 		t.Run(name, func(t *testing.T) {
 			parts := []*slatewindv1.RunReply{head("1"), chunk(long), chunk("abc"), last}
--- a/link/settings.go
+++ b/link/settings.go
@@ -74,7 +74,7 @@
 // unpack verifies the checksum of compressed settings and decodes them.
 func unpack(first *slatewindv1.SettingsPart, all []byte) (*slatewind.PublishedSettings, error) {
 	if xxhash.Sum64(all) != first.GetChecksum() {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(all))
 	if err != nil {
@@ -139,7 +139,7 @@
 
 // Settings implements the generated interface.
 func (s *NewsServer) Settings(request *slatewindv1.SettingsRequest, stream grpc.ServerStreamingServer[slatewindv1.SettingsPart]) error {
-	settings := s.Newest()
+	settings := s.CurrentSettings()
 	if settings == nil || settings.Version <= request.GetVersion() {
 		return nil
 	}
--- a/link/settings_test.go
+++ b/link/settings_test.go
@@ -43,7 +43,7 @@
 func TestSettings(t *testing.T) {
 	fleet := bigFleet(4000)
 	newest := &slatewind.PublishedSettings{Version: 7, Revision: slatewind.Revision{Era: 2, Number: 70}, Fleet: fleet}
-	address := serveNews(t, &link.NewsServer{Newest: func() *slatewind.PublishedSettings { return newest }})
+	address := serveNews(t, &link.NewsServer{CurrentSettings: func() *slatewind.PublishedSettings { return newest }})
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
 	for known, newer := range map[uint64]bool{0: true, 6: true, 7: false, 8: false} {
@@ -85,7 +85,7 @@
 	pool := link.NewPool(nil)
 	defer func() { _ = pool.Close() }()
 	_, err := pool.Settings(t.Context(), address, 0)
-	assert.ErrorIs(t, err, link.ErrBroken)
+	assert.ErrorIs(t, err, link.ErrCorrupt)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	_, err = pool.Settings(ctx, address, 1)
--- a/link/suspects.go
+++ b/link/suspects.go
@@ -15,8 +15,8 @@
 	Records []quarantine.Record
 }
 
-// Spread sends new records to the process at an IP:port address.
-func (p *Pool) Spread(ctx context.Context, address string, records []quarantine.Record) error {
+// SendSuspects sends new records to the process at an IP:port address.
+func (p *Pool) SendSuspects(ctx context.Context, address string, records []quarantine.Record) error {
 	request := &slatewindv1.SuspectsNews{Suspects: SuspectsOf(records)}
 	_, err := call(ctx, p, address, request, slatewindv1.NewNewsClient, slatewindv1.NewsClient.Suspects)
 	return err
@@ -24,7 +24,7 @@
 
 // Suspects implements the generated interface.
 func (s *NewsServer) Suspects(_ context.Context, request *slatewindv1.SuspectsNews) (*slatewindv1.SuspectsReply, error) {
-	s.Told(RecordsOf(request.GetSuspects()))
+	s.ReceiveSuspects(RecordsOf(request.GetSuspects()))
 	return &slatewindv1.SuspectsReply{}, nil
 }
 
--- a/link/updates.go
+++ b/link/updates.go
@@ -9,24 +9,25 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// Told is what two processes exchange along with the updates of Since, in both directions.
-type Told struct {
+// Observations is what two processes exchange along with the updates of Since, in both
+// directions.
+type Observations struct {
 	// Reports are the reports about unhealthy servers.
 	Reports  []*slatewindv1.ServerReport
 	Suspects Suspects
 }
 
 // Since gets from the process at an IP:port address the servers that changed after a revision
-// of the store. version is that of the caller's settings. told holds the caller's reports
+// of the store. version is that of the caller's settings. observations holds the caller's reports
 // about unhealthy servers and about requests during which servers crashed; those of the
 // other process are returned.
-func (p *Pool) Since(ctx context.Context, address string, after slatewind.Revision, version uint64, told Told) (slatewind.ServerUpdate, Told, error) {
+func (p *Pool) Since(ctx context.Context, address string, after slatewind.Revision, version uint64, observations Observations) (slatewind.ServerUpdate, Observations, error) {
 	request := &slatewindv1.SinceRequest{
-		Era: after.Era, Revision: after.Number, Version: version, Reports: told.Reports, SuspectsSum: told.Suspects.Sum, Suspects: SuspectsOf(told.Suspects.Records),
+		Era: after.Era, Revision: after.Number, Version: version, Reports: observations.Reports, SuspectsSum: observations.Suspects.Sum, Suspects: SuspectsOf(observations.Suspects.Records),
 	}
 	reply, err := call(ctx, p, address, request, slatewindv1.NewNewsClient, slatewindv1.NewsClient.Since)
 	if err != nil {
-		return slatewind.ServerUpdate{}, Told{}, err
+		return slatewind.ServerUpdate{}, Observations{}, err
 	}
 	update := slatewind.ServerUpdate{
 		Revision: slatewind.Revision{Era: reply.GetEra(), Number: reply.GetRevision()}, Age: time.Duration(reply.GetAgeNanos()), Complete: reply.GetWhole(), Removed: reply.GetRemoved(),
@@ -42,33 +43,33 @@
 	for _, s := range reply.GetEnded() {
 		update.Ended = append(update.Ended, slatewind.ServerStart{Name: s.GetName(), Start: s.GetUnixMillis()})
 	}
-	return update, Told{reply.GetReports(), Suspects{reply.GetSuspectsSum(), RecordsOf(reply.GetSuspects())}}, nil
+	return update, Observations{reply.GetReports(), Suspects{reply.GetSuspectsSum(), RecordsOf(reply.GetSuspects())}}, nil
 }
 
 // NewsServer implements the RPC service News, which gives other processes what this one knows
 // of the platform's store.
 type NewsServer struct {
 	slatewindv1.UnimplementedNewsServer
-	// Known returns the servers that changed after a revision of the store, for a process
+	// UpdateSince returns the servers that changed after a revision of the store, for a process
 	// that has the given version of the settings.
-	Known func(after slatewind.Revision, version uint64) slatewind.ServerUpdate
+	UpdateSince func(after slatewind.Revision, version uint64) slatewind.ServerUpdate
 	// Exchange takes the reports of another process and returns those of this one.
-	Exchange func(told Told) Told
-	// Told takes records about servers that have just crashed, from another process.
-	Told func(records []quarantine.Record)
-	// Newest returns the newest settings of this process, or nil.
-	Newest func() *slatewind.PublishedSettings
+	Exchange func(observations Observations) Observations
+	// ReceiveSuspects takes records about servers that have just crashed, from another process.
+	ReceiveSuspects func(records []quarantine.Record)
+	// CurrentSettings returns the newest settings of this process, or nil.
+	CurrentSettings func() *slatewind.PublishedSettings
 
 	packer packer
 }
 
 // Since implements the generated interface.
 func (s *NewsServer) Since(_ context.Context, request *slatewindv1.SinceRequest) (*slatewindv1.SinceReply, error) {
-	update := s.Known(slatewind.Revision{Era: request.GetEra(), Number: request.GetRevision()}, request.GetVersion())
-	told := s.Exchange(Told{request.GetReports(), Suspects{request.GetSuspectsSum(), RecordsOf(request.GetSuspects())}})
+	update := s.UpdateSince(slatewind.Revision{Era: request.GetEra(), Number: request.GetRevision()}, request.GetVersion())
+	observations := s.Exchange(Observations{request.GetReports(), Suspects{request.GetSuspectsSum(), RecordsOf(request.GetSuspects())}})
 	reply := &slatewindv1.SinceReply{
 		Era: update.Revision.Era, Revision: update.Revision.Number, AgeNanos: int64(update.Age), Whole: update.Complete, Removed: update.Removed, Version: update.Version, Cut: update.PlatformUnreachable,
-		Reports: told.Reports, SuspectsSum: told.Suspects.Sum, Suspects: SuspectsOf(told.Suspects.Records),
+		Reports: observations.Reports, SuspectsSum: observations.Suspects.Sum, Suspects: SuspectsOf(observations.Suspects.Records),
 	}
 	for _, e := range update.Servers {
 		reply.Servers = append(reply.Servers, &slatewindv1.PublishedServer{
--- a/outbound/run.go
+++ b/outbound/run.go
@@ -113,7 +113,7 @@
 // match.
 var errIncompleteAnswer = Error.New("the answer is truncated or corrupt")
 
-// read reads the response that follows a head. At most link.MaxHeld bytes and one chunk are held in
+// read reads the response that follows a head. At most link.MaxBufferedBytes bytes and one chunk are held in
 // memory; the rest of a longer response is read as it is forwarded.
 func (o *Outbound) read(rq *request, slot *grantedSlot, head *slatewindv1.AnswerHead) attemptResult {
 	r := unknownResult(slot)
@@ -137,7 +137,7 @@
 		return chunk, nil
 	}
 	a := &answer{head: head, close: slot.cancel}
-	for len(a.body) <= link.MaxHeld {
+	for len(a.body) <= link.MaxBufferedBytes {
 		chunk, err := next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, errIncompleteAnswer) {
 			r.outcome, r.answer = slatewind.OutcomeAnswer, a
