--- a/member/member.go
+++ b/member/member.go
@@ -1,10 +1,10 @@
-// Package member holds what one process knows of the others: from the
-// platform's VM list, which lags, from gossip, and from direct contact. Each
-// entry says how it is known and how old it is.
+// Package member implements the membership table of a process: what it knows about the
+// other processes from the platform's VM list, which lags, from gossip, and from direct
+// calls. Each entry has its source and the time of its last update.
 //
-// A process announces its own state with a serial that grows with each change,
-// and a new process on the same VM has a later incarnation; the later word
-// wins, so news can travel by any path and in any order.
+// A process publishes its own state with a serial that grows with each change, and a new
+// process on the same VM has a higher incarnation. The entry with the higher incarnation and
+// serial wins, so updates may arrive by any path and in any order.
 package member
 
 import (
@@ -18,7 +18,7 @@
 	"slatewind.example/slatewind"
 )
 
-// Entry is one known process.
+// Entry is the state of a known process.
 type Entry struct {
 	VM          string            `json:"vm"`
 	DataCentre  string            `json:"data_centre"`
@@ -27,38 +27,38 @@
 	Serial      uint64            `json:"serial"`
 	State       slatewind.VMState `json:"state"`
 	Source      slatewind.Source  `json:"source"`
-	// Listed is the VM's state in the platform's list; "" is not listed.
+	// Listed is the VM's state in the platform's list, or "" if it is not listed.
 	Listed slatewind.VMState `json:"listed,omitempty"`
-	// Updated is when the entry last changed or was confirmed by contact.
+	// Updated is when the entry last changed or was confirmed by a direct call.
 	Updated time.Time `json:"updated"`
-	// Noted is when the entry last became news here.
+	// Noted is when the last change of the entry to be gossiped was recorded.
 	Noted time.Time `json:"noted"`
-	// Failed counts calls in a row that got no reply.
+	// Failed is the number of consecutive calls without a reply.
 	Failed int `json:"failed,omitempty"`
-	// Waiting counts calls that have no reply yet.
+	// Waiting is the number of calls in progress.
 	Waiting int `json:"waiting,omitempty"`
 }
 
-// goneAfter is how many calls in a row must fail for a VM to count as gone.
+// goneAfter is the number of consecutive failed calls after which a VM counts as gone.
 const goneAfter = 3
 
-// forget is how long a gone VM that is not listed is kept, so that late news
-// of it is not taken for a new one.
-const forget = 10 * time.Minute
+// forgetAfter is how long a VM that is not listed is kept after the last update of its
+// entry, so that a late update is not mistaken for a new VM.
+const forgetAfter = 10 * time.Minute
 
-// Live reports whether a process may be asked or get new work.
+// Live reports whether a process may be called and given new work.
 func (e *Entry) Live() bool {
 	return e.State == slatewind.VMLive
 }
 
-// Table is what one process knows. It is not safe for use by several
-// goroutines; its host guards it.
+// Table is the membership table of a process. It is not safe for concurrent use; its owner
+// guards it.
 type Table struct {
 	self    string
 	entries map[string]*Entry
-	// names lists the known VMs in no order, for random draws.
+	// names lists the known VMs in no particular order, for random selection.
 	names []string
-	// changed lists VMs by their last change, newest last, for gossip.
+	// changed lists the VMs to gossip about by the time of their last change, newest last.
 	changed []string
 }
 
@@ -70,7 +70,7 @@
 	self.Updated = now
 	t := &Table{self: self.VM, entries: map[string]*Entry{}}
 	t.add(&self)
-	t.note(now, self.VM)
+	t.recordChange(now, self.VM)
 	return t
 }
 
@@ -89,7 +89,7 @@
 	return *t.entries[t.self]
 }
 
-// Leave announces that the process itself is leaving.
+// Leave marks the process itself as leaving.
 func (t *Table) Leave(now time.Time) {
 	self := t.entries[t.self]
 	if self.State == slatewind.VMLeaving {
@@ -98,10 +98,10 @@
 	self.State = slatewind.VMLeaving
 	self.Serial++
 	self.Updated = now
-	t.note(now, t.self)
+	t.recordChange(now, t.self)
 }
 
-// Find returns the entry of a VM.
+// Find returns the entry of a VM and whether it is known.
 func (t *Table) Find(vm string) (Entry, bool) {
 	e, ok := t.entries[vm]
 	if !ok {
@@ -110,7 +110,7 @@
 	return *e, true
 }
 
-// All returns every entry, by name.
+// All returns all entries, sorted by VM name.
 func (t *Table) All() []Entry {
 	all := make([]Entry, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -120,83 +120,85 @@
 	return all
 }
 
-// Merge takes another process's word about a VM. It reports whether it was
-// news.
-func (t *Table) Merge(now time.Time, heard Entry) bool {
-	if heard.VM == t.self {
-		return t.mergeSelf(now, heard)
+// Merge merges an entry received from another process and reports whether it changed the
+// table.
+func (t *Table) Merge(now time.Time, received Entry) bool {
+	if received.VM == t.self {
+		return t.mergeSelf(now, received)
 	}
-	if heard.VM == "" {
+	if received.VM == "" {
 		return false
 	}
-	known := t.entries[heard.VM]
+	known := t.entries[received.VM]
 	if known == nil {
-		heard.Updated = now
-		heard.Failed = 0
-		t.add(&heard)
-		t.note(now, heard.VM)
+		received.Updated = now
+		received.Failed = 0
+		t.add(&received)
+		t.recordChange(now, received.VM)
 		return true
 	}
-	if !later(heard, *known) {
-		if leavingNews(heard, *known) {
+	if !later(received, *known) {
+		if marksLeaving(received, *known) {
 			known.State = slatewind.VMLeaving
 			known.Updated = now
-			t.note(now, known.VM)
+			t.recordChange(now, known.VM)
 			return true
 		}
-		if heard.Source == slatewind.SourceContact {
-			t.confirm(now, known, heard)
+		if received.Source == slatewind.SourceContact {
+			t.confirm(now, known, received)
 		}
 		return false
 	}
 	listed := known.Listed
-	if sameProcess(heard, *known) || known.Incarnation == 0 {
-		heard.Listed = listed
+	if sameProcess(received, *known) || known.Incarnation == 0 {
+		received.Listed = listed
 	} else {
-		// The list may still speak of the process before this one.
-		heard.Listed = ""
-	}
-	heard.Updated = now
-	heard.Failed = 0
-	heard.Waiting = known.Waiting
-	*known = heard
-	t.note(now, heard.VM)
+		// The list may still show the previous process on this VM.
+		received.Listed = ""
+	}
+	received.Updated = now
+	received.Failed = 0
+	received.Waiting = known.Waiting
+	*known = received
+	t.recordChange(now, received.VM)
 	return true
 }
 
-// mergeSelf takes another's word about this very process: only that it leaves,
-// which somebody read in the platform's list.
-func (t *Table) mergeSelf(now time.Time, heard Entry) bool {
+// mergeSelf merges an entry about the process itself. Only the state leaving is taken over,
+// which another process read in the platform's list.
+func (t *Table) mergeSelf(now time.Time, received Entry) bool {
 	self := t.entries[t.self]
-	if !leavingNews(heard, *self) {
+	if !marksLeaving(received, *self) {
 		return false
 	}
 	t.Leave(now)
 	return true
 }
 
-// leavingNews reports whether the same word of a process is now told with the
-// addition that it leaves, as the platform's list can add.
-func leavingNews(heard, known Entry) bool {
-	return heard.State == slatewind.VMLeaving && known.State == slatewind.VMLive &&
-		heard.Incarnation == known.Incarnation && heard.Serial == known.Serial
+// marksLeaving reports whether the received entry differs from the known one only in that
+// the VM is leaving. A process that reads this in the platform's list changes the state but
+// not the incarnation and serial.
+func marksLeaving(received, known Entry) bool {
+	return received.State == slatewind.VMLeaving && known.State == slatewind.VMLive &&
+		received.Incarnation == known.Incarnation && received.Serial == known.Serial
 }
 
-// confirm notes a direct reply that told nothing new.
-func (t *Table) confirm(now time.Time, known *Entry, heard Entry) {
-	if heard.Incarnation < known.Incarnation {
+// confirm records a direct reply without newer state. A VM that counted as gone gets the
+// state of the reply.
+func (t *Table) confirm(now time.Time, known *Entry, received Entry) {
+	if received.Incarnation < known.Incarnation {
 		return
 	}
 	known.Updated = now
 	known.Failed = 0
 	known.Source = slatewind.SourceContact
 	if known.State == slatewind.VMGone {
-		known.State = heard.State
-		t.note(now, known.VM)
+		known.State = received.State
+		t.recordChange(now, known.VM)
 	}
 }
 
-// later reports whether a was said after b.
+// later reports whether a was published after b.
 func later(a, b Entry) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -204,12 +206,13 @@
 	return a.Serial > b.Serial
 }
 
+// sameProcess reports whether both entries are of the same process on a VM.
 func sameProcess(a, b Entry) bool {
 	return a.Incarnation == b.Incarnation
 }
 
-// MergeList takes the platform's VM list. It lags, so it adds VMs and marks
-// them leaving, but does not contradict what a process said of itself.
+// MergeList merges the platform's VM list. Since the list lags, it only adds VMs and marks
+// them as leaving, and does not otherwise override the state that a process published itself.
 func (t *Table) MergeList(now time.Time, vms []slatewind.VM) {
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -218,7 +221,7 @@
 	}
 	for name, e := range t.entries {
 		if name != t.self && !listed[name] {
-			t.unlisted(now, name, e)
+			t.expireUnlisted(now, name, e)
 		}
 	}
 }
@@ -230,7 +233,7 @@
 			VM: vm.Name, DataCentre: vm.DataCentre, PeerAddress: vm.PeerAddress,
 			State: vm.State, Source: slatewind.SourceList, Listed: vm.State, Updated: now,
 		})
-		t.note(now, vm.Name)
+		t.recordChange(now, vm.Name)
 		return
 	}
 	changed := e.Listed != vm.State
@@ -246,7 +249,7 @@
 	if changed && vm.State == slatewind.VMLeaving && e.State == slatewind.VMLive {
 		e.State = slatewind.VMLeaving
 		e.Updated = now
-		t.note(now, vm.Name)
+		t.recordChange(now, vm.Name)
 	}
 	if changed && vm.State == slatewind.VMLive && e.Source == slatewind.SourceList {
 		e.State = slatewind.VMLive
@@ -254,26 +257,26 @@
 	}
 }
 
-// unlisted forgets a VM that the list does not have and nobody heard of for
-// long; a VM that answers is kept, since the list lags.
-func (t *Table) unlisted(now time.Time, name string, e *Entry) {
+// expireUnlisted removes a VM that is not listed and has had no update for forgetAfter. A VM
+// that still responds is kept, since the list lags.
+func (t *Table) expireUnlisted(now time.Time, name string, e *Entry) {
 	e.Listed = ""
-	if now.Sub(e.Updated) >= forget {
+	if now.Sub(e.Updated) >= forgetAfter {
 		delete(t.entries, name)
 		i := slices.Index(t.names, name)
 		t.names = slices.Delete(t.names, i, i+1)
 	}
 }
 
-// Calling notes the beginning of a call to a VM, which ends with Contact.
+// Calling records the start of a call to a VM. Contact records its end.
 func (t *Table) Calling(vm string) {
 	if e := t.entries[vm]; e != nil {
 		e.Waiting++
 	}
 }
 
-// Contact notes whether a call to a VM got a reply. It reports whether the VM
-// counts as gone from now on.
+// Contact records the end of a call to a VM and whether it got a reply. It returns true if
+// the VM counts as gone from now on.
 func (t *Table) Contact(now time.Time, vm string, reached bool) bool {
 	e := t.entries[vm]
 	if e == nil || vm == t.self {
@@ -296,8 +299,8 @@
 	return true
 }
 
-// note puts a VM at the end of the list of changes.
-func (t *Table) note(now time.Time, vm string) {
+// recordChange moves a VM to the end of the list of changes.
+func (t *Table) recordChange(now time.Time, vm string) {
 	t.entries[vm].Noted = now
 	for i, name := range t.changed {
 		if name == vm {
@@ -311,31 +314,31 @@
 	}
 }
 
-// maxChanged bounds how many recent changes gossip can carry.
+// maxChanged limits how many recent changes are kept for gossip.
 const maxChanged = 64
 
-// spreadTime is how long a change is news. Within it gossip has brought the
-// change to every process that can be reached; who could not hears it from its
-// later contacts, for whom it is news again.
-const spreadTime = 30 * time.Second
+// gossipTime is how long a change is gossiped. By then it has reached every reachable
+// process. A process that was unreachable gets the change from the peers that it exchanges
+// with later, and gossips it in turn, since it is new there.
+const gossipTime = 30 * time.Second
 
-// Recent returns the changes that are news, newest first, at most n. That a VM
-// is gone is left out: it is this process's view alone.
+// Recent returns the changes to gossip, newest first, at most n. VMs that are gone are left
+// out, since that is only the view of this process.
 func (t *Table) Recent(now time.Time, n int) []Entry {
 	var recent []Entry
 	for i := len(t.changed) - 1; i >= 0 && len(recent) < n; i-- {
 		e := t.entries[t.changed[i]]
-		if e != nil && e.State != slatewind.VMGone && now.Sub(e.Noted) < spreadTime {
+		if e != nil && e.State != slatewind.VMGone && now.Sub(e.Noted) < gossipTime {
 			recent = append(recent, *e)
 		}
 	}
 	return recent
 }
 
-// Peers returns up to n random processes to gossip with, the first of them of
-// the process's own data centre where one is found. Now and then a gone one is
-// tried too, since the two sides of a mended cut must find each other. The cost
-// does not grow with the number of processes known.
+// Peers returns up to n random processes to gossip with. The first is in the process's own
+// data centre if one is found. With probability goneRetryProbability a gone one is added, so
+// that both sides of a healed network partition find each other. The cost does not depend on
+// the number of known processes.
 func (t *Table) Peers(r *rand.Rand, n int) []Entry {
 	near := t.entries[t.self].DataCentre
 	var chosen []Entry
@@ -347,23 +350,23 @@
 			break
 		}
 	}
-	const tryGone = 0.2
-	if len(chosen) == 0 || r.Float64() < tryGone {
+	const goneRetryProbability = 0.2
+	if len(chosen) == 0 || r.Float64() < goneRetryProbability {
 		chosen = t.draw(r, chosen, func(e *Entry) bool { return e.State == slatewind.VMGone })
 	}
 	return chosen
 }
 
-// drawTries bounds the random draws for one peer; with a sixth of the fleet in
-// each data centre, 40 miss a near one once in 1,500 rounds.
-const drawTries = 40
+// maxDraws limits the random draws for one peer. With a sixth of the fleet in each data
+// centre, 40 draws miss the process's own data centre once in 1,500 rounds.
+const maxDraws = 40
 
-// draw adds a random process that fits and is not yet chosen. Processes that
-// answer go before those that did not of late: behind a cut that leaves few
-// ways open, news must find these ways soon.
+// draw adds a random process that fits and is not chosen yet. It prefers processes that have
+// no failed or pending calls: in a network partition that leaves few paths open, gossip must
+// find these paths quickly.
 func (t *Table) draw(r *rand.Rand, chosen []Entry, fits func(*Entry) bool) []Entry {
-	var silent *Entry
-	for range drawTries {
+	var unresponsive *Entry
+	for range maxDraws {
 		e := t.entries[t.names[r.IntN(len(t.names))]]
 		if e.VM == t.self || e.PeerAddress == "" || !fits(e) || contains(chosen, e.VM) {
 			continue
@@ -371,10 +374,10 @@
 		if e.Failed == 0 && e.Waiting == 0 {
 			return append(chosen, *e)
 		}
-		silent = e
+		unresponsive = e
 	}
-	if silent != nil {
-		return append(chosen, *silent)
+	if unresponsive != nil {
+		return append(chosen, *unresponsive)
 	}
 	return chosen
 }
@@ -383,9 +386,9 @@
 	return slices.ContainsFunc(entries, func(e Entry) bool { return e.VM == vm })
 }
 
-// ReaderRank returns the place of the process among those of its data centre
-// that may read the platform, 0 first. Every process that knows the same live
-// VMs gets the same order.
+// ReaderRank returns the rank of the process, from 0, among the live processes of its data
+// centre, by the hashes of their VM names. It decides which of them read the platform.
+// Processes that know the same live VMs compute the same order.
 func (t *Table) ReaderRank() int {
 	self := t.entries[t.self]
 	own := xxhash.Sum64String(self.VM)
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -26,9 +26,9 @@
 	return member.NewTable(begin, member.Entry{VM: "self", DataCentre: "dc", PeerAddress: "self", Incarnation: 1})
 }
 
-// TestNewsInAnyOrder: what processes said of themselves ends the same in whatever
-// order it comes, and nobody who left is brought back by older news.
-func TestNewsInAnyOrder(t *testing.T) {
+// TestMergeInAnyOrder: entries that processes publish about themselves lead to the same
+// table in any order, and an older entry does not bring back a process that has left.
+func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) member.Entry {
 			serial := uint64(rapid.IntRange(1, 2).Draw(t, "serial"))
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestListLags: the platform's list adds VMs and marks them leaving, but takes
-// nothing back that a process said of itself.
+// TestListLags: the platform's list adds VMs and marks them as leaving, but does not
+// revert the state that a process published itself.
 func TestListLags(t *testing.T) {
 	table := newTable()
 	listed := func(state slatewind.VMState) []slatewind.VM {
@@ -75,13 +75,13 @@
 
 	table.MergeList(begin.Add(time.Minute), nil)
 	_, known := table.Find("vm-1")
-	assert.Assert(t, known, "the list lags, so a VM missing there is kept for a while")
+	assert.Assert(t, known, "a VM that is missing in the list must be kept for a while")
 	table.MergeList(begin.Add(time.Hour), nil)
 	_, known = table.Find("vm-1")
 	assert.Assert(t, !known)
 }
 
-// TestSelfLeavesByTheList: the list has this very VM as leaving.
+// TestSelfLeavesByTheList: the list shows the process's own VM as leaving.
 func TestSelfLeavesByTheList(t *testing.T) {
 	table := newTable()
 	table.MergeList(begin, []slatewind.VM{{Name: "self", State: slatewind.VMLeaving}})
@@ -89,8 +89,8 @@
 	assert.Equal(t, table.Self().Serial, uint64(2))
 }
 
-// TestReadersAreFew: of the processes of a data centre exactly the first ranks
-// read, and one that is gone makes room for the next.
+// TestReadersAreFew: all processes of a data centre have distinct ranks, a process that is
+// gone gives way to the next, and only the first ranks may read the platform.
 func TestReadersAreFew(t *testing.T) {
 	names := []string{"self", "vm-1", "vm-2", "vm-3", "vm-4"}
 	ranks := func(gone string) []int {
@@ -126,9 +126,9 @@
 	assert.Assert(t, member.MayRead(5, time.Hour) && !member.MayRead(6, time.Hour))
 }
 
-// TestPeersThatAnswerGoFirst: behind a cut that leaves one way open, that one is
-// drawn.
-func TestPeersThatAnswerGoFirst(t *testing.T) {
+// TestRespondingPeersFirst: in a network partition with only one reachable peer, that peer
+// is selected.
+func TestRespondingPeersFirst(t *testing.T) {
 	table := newTable()
 	for i := range 10 {
 		vm := fmt.Sprint("vm-", i)
--- a/member/reader.go
+++ b/member/reader.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Readers of the platform. A constant number a data centre reads, so that the
-// platform's calls do not grow with the fleet; when no fresh look at the
-// platform is heard of, further ones join, slowly and up to a bound.
+// Limits and timing of readers of the platform. A constant number of processes per data
+// centre reads it, so that calls to the platform do not grow with the fleet. When the newest
+// known successful read gets old, further processes join one after the other, up to
+// MaxReaders.
 const (
-	// Readers is how many processes of a data centre watch the platform.
+	// Readers is the number of processes per data centre that read the platform.
 	Readers = 2
-	// MaxReaders bounds them while the platform seems away.
+	// MaxReaders limits their number while the platform seems unavailable.
 	MaxReaders = 6
-	// lateAfter is the age of the newest look at which the next one joins.
+	// lateAfter is the age of the newest read from which the first further reader joins.
 	lateAfter = 10 * time.Second
-	// joinEvery is the time after which a further one joins.
+	// joinEvery is the interval at which more readers join after that.
 	joinEvery = 5 * time.Second
 )
 
-// MayRead reports whether the process of a rank reads the platform now, given
-// the age of the newest look at the platform that it heard of.
+// MayRead reports whether the process of a rank (see ReaderRank) reads the platform, given
+// the age of the newest read of the platform that it knows of.
 func MayRead(rank int, age time.Duration) bool {
 	allowed := Readers
 	if age > lateAfter {
