--- a/config/check.go
+++ b/config/check.go
@@ -189,7 +189,7 @@
 		return
 	}
 	if owner, taken := owners[digest]; taken {
-		c.add("SW1016", fmt.Sprintf("the digest stands in workspace %q already", owner), path...)
+		c.add("SW1016", fmt.Sprintf("the digest is already used in workspace %q", owner), path...)
 	}
 	owners[digest] = name
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -212,8 +212,8 @@
 		text := []byte(rapid.StringMatching(`((  - |    |)[a-z]{0,90}\n){0,9}[a-z]{0,10}`).Draw(t, "text"))
 		text = append(text, bytes.Repeat(text, 20)...)
 		chunks := config.Split(text)
-		joined, whole := config.Join(config.ChunkDigests(chunks), nil, chunks)
-		assert.Assert(t, whole)
+		joined, complete := config.Join(config.ChunkDigests(chunks), nil, chunks)
+		assert.Assert(t, complete)
 		assert.Equal(t, string(joined), string(text))
 	})
 	var old strings.Builder
@@ -225,6 +225,6 @@
 	after := config.Split([]byte(changed))
 	moved := config.Missing(after, config.ChunkDigests(before))
 	assert.Equal(t, len(moved), 1)
-	_, whole := config.Join(config.ChunkDigests(after), before, nil)
-	assert.Assert(t, !whole)
+	_, complete := config.Join(config.ChunkDigests(after), before, nil)
+	assert.Assert(t, !complete)
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -168,7 +168,7 @@
 		for i := 0; i+1 < len(n.Content); i += 2 {
 			key := n.Content[i]
 			if line, ok := seen[key.Value]; ok {
-				message := fmt.Sprintf("field %q stands twice, first in line %d", key.Value, line)
+				message := fmt.Sprintf("field %q is defined twice, first in line %d", key.Value, line)
 				findings = append(findings, Finding{file, key.Line, key.Column, "SW1003", message})
 			}
 			seen[key.Value] = key.Line
--- a/logreport/cause_test.go
+++ b/logreport/cause_test.go
@@ -14,12 +14,12 @@
 func TestNotAskedCauses(t *testing.T) {
 	_, notAsked, found := strings.Cut(choice.Survey{}.String(), "not_asked: ")
 	assert.Assert(t, found)
-	var words []string
+	var causes []string
 	for pair := range strings.FieldsSeq(notAsked) {
-		word, _, _ := strings.Cut(pair, "=")
-		words = append(words, word)
+		cause, _, _ := strings.Cut(pair, "=")
+		causes = append(causes, cause)
 	}
-	assert.DeepEqual(t, words, notAskedCauses)
+	assert.DeepEqual(t, causes, notAskedCauses)
 }
 
 // TestRefusals checks that the causes of refusals are reported without their details.
