--- a/cmd/slatewind-standin/main.go
+++ b/cmd/slatewind-standin/main.go
@@ -1,5 +1,5 @@
-// Command slatewind-standin runs the stand-ins for demonstrations: the platform
-// and servers in one process, or a driver that sends requests as callers do.
+// Command slatewind-standin runs stand-ins for demonstrations and measurements: the
+// platform and the servers in one process, or a driver that sends requests as callers do.
 package main
 
 import (
@@ -21,21 +21,21 @@
 )
 
 type serveCommand struct {
-	Platform string        `long:"platform" description:"IP:port of the platform" required:"true"`
-	Fleet    string        `long:"fleet" description:"the operators' file to publish; its servers are started too" required:"true"`
+	Platform string        `long:"platform" description:"IP:port on which the platform listens" required:"true"`
+	Fleet    string        `long:"fleet" description:"operators' file to publish; its servers are started too" required:"true"`
 	PeerPort int           `long:"peer-port" description:"port of slatewindd on each VM, for the VM list" default:"8090"`
 	Median   time.Duration `long:"median" description:"median service time" default:"8ms"`
-	Zones    []string      `long:"zone" description:"data centre of VMs: VM=DATACENTRE; repeat it"`
+	Zones    []string      `long:"zone" description:"data centre of a VM, as VM=DATACENTRE; may be repeated"`
 }
 
 type driveCommand struct {
-	Ingresses []string      `long:"ingress" description:"IP:port of an ingress; repeat it" required:"true"`
-	Targets   []string      `long:"target" description:"METHOD:PATH:repeatable|once:SHARE; repeat it" required:"true"`
-	Rate      float64       `long:"rate" description:"requests a second" default:"100"`
+	Ingresses []string      `long:"ingress" description:"IP:port of an ingress; may be repeated" required:"true"`
+	Targets   []string      `long:"target" description:"requests to send, as METHOD:PATH:repeatable|once:SHARE; may be repeated" required:"true"`
+	Rate      float64       `long:"rate" description:"requests per second" default:"100"`
 	For       time.Duration `long:"for" description:"how long to send" default:"5s"`
-	Servers   []string      `long:"server" description:"IP:port of a stand-in server whose runs are counted; repeat it"`
-	// WorkspaceKey comes by the environment: other users can read a command line.
-	WorkspaceKey string `long:"workspace-key" env:"WORKSPACE_KEY" description:"key that callers send"`
+	Servers   []string      `long:"server" description:"IP:port of a stand-in server whose executed requests are counted; may be repeated"`
+	// WorkspaceKey can be set in the environment, since other users can read a command line.
+	WorkspaceKey string `long:"workspace-key" env:"WORKSPACE_KEY" description:"workspace key to send with each request"`
 }
 
 type controlCommand struct {
@@ -56,8 +56,8 @@
 type compareCommand struct {
 	Through string `long:"through" description:"IP:port of an ingress" required:"true"`
 	Direct  string `long:"direct" description:"IP:port of a stand-in server" required:"true"`
-	Path    string `long:"path" description:"path to ask for" default:"/"`
-	Count   int    `long:"count" description:"requests each way" default:"3000"`
+	Path    string `long:"path" description:"path to request" default:"/"`
+	Count   int    `long:"count" description:"number of requests on each path" default:"3000"`
 }
 
 // Execute implements flags.Commander.
@@ -76,11 +76,11 @@
 	parser := flags.NewNamedParser("slatewind-standin", flags.Default)
 	_, err := parser.AddCommand("serve", "run the platform and the servers", "", &serveCommand{})
 	must(err)
-	_, err = parser.AddCommand("drive", "send requests and count what comes back", "", &driveCommand{})
+	_, err = parser.AddCommand("drive", "send requests and count their outcomes", "", &driveCommand{})
 	must(err)
-	_, err = parser.AddCommand("compare", "time requests through an ingress against requests straight to a server", "", &compareCommand{})
+	_, err = parser.AddCommand("compare", "compare the latency of requests through an ingress and directly to a server", "", &compareCommand{})
 	must(err)
-	_, err = parser.AddCommand("control", "make a stand-in fail: POST to a /control URL", "", &controlCommand{})
+	_, err = parser.AddCommand("control", "make a stand-in fail by a POST to a /control URL", "", &controlCommand{})
 	must(err)
 	if _, err := parser.Parse(); err != nil {
 		os.Exit(1)
@@ -122,8 +122,8 @@
 				PeerAddress: fmt.Sprintf("%s:%d", ip, c.PeerPort),
 			})
 			const spread = 0.4
-			stand := standin.NewServer(server.GetName(), int(server.GetSlots()), c.Median, spread)
-			serve(failed, server.GetAddress(), stand.Handler())
+			standinServer := standin.NewServer(server.GetName(), int(server.GetSlots()), c.Median, spread)
+			serve(failed, server.GetAddress(), standinServer.Handler())
 		}
 	}
 	select {
@@ -162,7 +162,7 @@
 		return err
 	}
 	for _, note := range driver.Notes() {
-		fmt.Println("not whole:", note)
+		fmt.Println("no complete answer:", note)
 	}
 	n := &driver.Counts
 	fmt.Printf("wrong=%d failed=%d\n", n.Wrong.Load(), n.Failed.Load())
@@ -171,8 +171,7 @@
 	return nil
 }
 
-// doubled counts the keys that servers ran more than once, all servers taken
-// together.
+// doubled returns how many keys were executed more than once, over all servers.
 func (c *driveCommand) doubled() (int, error) {
 	total := map[string]int{}
 	for _, address := range c.Servers {
--- a/cmd/slatewind/main.go
+++ b/cmd/slatewind/main.go
@@ -1,5 +1,5 @@
-// Command slatewind checks settings, asks running processes what they do and
-// why, replays traces and measures the policy.
+// Command slatewind is the operators' tool: it checks settings, shows the state and
+// the decisions of running processes, replays traces and measures the policy.
 package main
 
 import (
--- a/cmd/slatewindd/main.go
+++ b/cmd/slatewindd/main.go
@@ -1,5 +1,5 @@
-// Command slatewindd is the process that runs beside the backend servers of a
-// VM. It takes its settings from one YAML file; SIGTERM drains and ends it.
+// Command slatewindd runs the proxy beside the backend servers of a VM. It reads
+// its settings from one YAML file. SIGTERM drains and stops it.
 package main
 
 import (
@@ -27,26 +27,26 @@
 
 type options struct {
 	Settings string `short:"s" long:"settings" env:"SLATEWIND_CONFIG" description:"YAML file with the settings of this process" value-name:"FILE"`
-	Verbose  bool   `short:"v" long:"verbose" description:"log decisions about single requests too"`
+	Verbose  bool   `short:"v" long:"verbose" description:"log at debug level, decisions about single requests included"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
 func main() {
-	surviveHangUp()
+	ignoreSIGHUP()
 	os.Exit(run())
 }
 
-// surviveHangUp keeps the signal to read the settings anew from ending the process
-// where nobody listens for it: before the settings were first read, and at the end of
-// a stop.
-func surviveHangUp() {
+// ignoreSIGHUP keeps SIGHUP, which makes a running process reload its settings, from
+// terminating the process while no reload handler is registered: before the settings
+// are first read, and at the end of a stop.
+func ignoreSIGHUP() {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 }
 
 func run() int {
 	var o options
 	parser := flags.NewParser(&o, flags.Default)
-	parser.LongDescription = "Exit codes: 0 stopped in order, 1 the settings have findings, 2 the command line is wrong, 3 it could not start or stop."
+	parser.LongDescription = "Exit codes: 0 stopped after a drain, 1 the settings have findings, 2 invalid command line, 3 start or stop failed."
 	if _, err := parser.Parse(); err != nil {
 		var flagErr *flags.Error
 		if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
@@ -59,7 +59,7 @@
 		return exitOK
 	}
 	if o.Settings == "" {
-		fmt.Fprintln(os.Stderr, "slatewindd: neither --settings nor SLATEWIND_CONFIG is given; see --help")
+		fmt.Fprintln(os.Stderr, "slatewindd: no settings file: set --settings or SLATEWIND_CONFIG; see --help")
 		return exitUsage
 	}
 	process, err := config.LoadProcess(o.Settings)
@@ -79,7 +79,7 @@
 	return exitOK
 }
 
-// serve runs the process until a signal comes and then drains it.
+// serve runs the process until it receives a stop signal and then drains it.
 func serve(app *fx.App) error {
 	ctx, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
 	defer cancel()
--- a/cmd/slatewindd/main_test.go
+++ b/cmd/slatewindd/main_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHangUpAtStart: a signal to read the settings anew does not end a process that
-// is just about to read them. The settings come through a pipe, so that the process
-// waits for them.
+// TestHangUpAtStart checks that SIGHUP, the signal to reload the settings, does not terminate a
+// process that has not read them yet. The settings are a named pipe, so that the process blocks
+// while it reads them.
 func TestHangUpAtStart(t *testing.T) {
 	dir := t.TempDir()
 	program, settings := filepath.Join(dir, "slatewindd"), filepath.Join(dir, "node.yaml")
@@ -22,14 +22,14 @@
 
 	command := exec.Command(program, "--settings", settings)
 	assert.NilError(t, command.Start())
-	// Opening the pipe succeeds once the process reads from it.
+	// Opening the pipe blocks until the process has opened it for reading.
 	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0)
 	assert.NilError(t, err)
 	assert.NilError(t, command.Process.Signal(syscall.SIGHUP))
 	_, err = pipe.WriteString("no_such_key: 1\n")
 	assert.NilError(t, err)
 	assert.NilError(t, pipe.Close())
-	// The error is that of the exit code.
+	// Wait returns an error because of the exit code, which is checked below.
 	_ = command.Wait()
 	assert.Equal(t, command.ProcessState.ExitCode(), exitSettings, command.ProcessState.String())
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of a slatewindd process together, starts them
-// and drains them at the end. Where the platform's store lists the servers, the
+// Package daemon assembles the components of a slatewindd process, starts them
+// and drains them on shutdown. If the platform's store lists the servers, the
 // process is a Node, otherwise a Process.
 package daemon
 
@@ -36,31 +36,33 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// Version is the program's version; a release sets its own when it is linked.
+// Version is the program's version. Releases set it at link time.
 var Version = "0.1"
 
 // Error is the class of errors of this package.
 var Error = errs.Class("daemon")
 
 const (
-	// StopTimeout bounds a planned stop; routes' timeouts lie far below it.
+	// StopTimeout bounds a planned stop. It is far above the timeouts of routes, so that
+	// requests in progress can finish.
 	StopTimeout = 60 * time.Second
-	// stopMargin is how much longer the wiring waits, so that the process's own
-	// bound ends a stop and not the wiring's.
+	// stopMargin is added to StopTimeout for the limit of the fx application, so that
+	// the process's own limit ends a stop first.
 	stopMargin = 5 * time.Second
-	// drainPoll is how often a draining process looks whether work is left.
+	// drainPoll is how often a draining process checks whether work is left.
 	drainPoll = 20 * time.Millisecond
-	// drainNotice is how long a draining process stays after its last work, so
-	// that callers and ingresses learn of it from replies and not from resets.
+	// drainNotice is how long a draining process must have been idle before it closes its
+	// listeners, so that callers and ingresses learn of the drain from replies and not
+	// from connection resets.
 	drainNotice = 500 * time.Millisecond
 	// readHeaderTimeout bounds how long a caller may take to send a header.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout closes callers' connections that nothing comes from.
+	// idleTimeout is after how long callers' idle connections are closed.
 	idleTimeout = 2 * time.Minute
 )
 
-// Options returns the wiring of a process with the settings that were read from a
-// file: of a Node where they name the platform's store, otherwise of a Process.
+// Options returns the fx options of a process with the settings that were read from the file
+// at path: a Node if they name the platform's store, otherwise a Process.
 func Options(path string, process *slatewindv1.Process, logger *log.Logger) fx.Option {
 	file := settingsFile{path, logger.GetLevel()}
 	file.setLevel(logger, process)
@@ -76,7 +78,7 @@
 	)
 }
 
-// commonOptions returns the wiring that a process and a node share.
+// commonOptions returns the fx options that a Process and a Node share.
 func commonOptions(file settingsFile, process *slatewindv1.Process, logger *log.Logger) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
@@ -91,8 +93,9 @@
 	)
 }
 
-// frequent decisions are one to a request; they are logged only on demand.
-var frequent = map[slatewind.DecisionKind]bool{
+// perRequestKinds are the kinds of decision that are made once or more per request. They are
+// logged at debug level only.
+var perRequestKinds = map[slatewind.DecisionKind]bool{
 	slatewind.DecisionRefuse: true, slatewind.DecisionRetry: true, slatewind.DecisionHedge: true,
 	slatewind.DecisionHandOver: true, slatewind.DecisionUnknown: true, slatewind.DecisionDropReply: true,
 }
@@ -101,7 +104,7 @@
 	return history.New(int(process.GetLimits().GetJournalEntries()), func(d slatewind.Decision) {
 		m.Decision(d.Kind)
 		level := log.InfoLevel
-		if frequent[d.Kind] {
+		if perRequestKinds[d.Kind] {
 			level = log.DebugLevel
 		}
 		logger.Log(level, "decision", "kind", d.Kind, "service", d.Service, "server", d.Server,
@@ -109,7 +112,8 @@
 	})
 }
 
-// Process is a running slatewindd.
+// Process is a slatewindd whose peers come from the platform's list of VMs and whose servers come
+// from the operators' settings. It is the ingress for callers and the sidecar of its VM's servers.
 type Process struct {
 	settings *slatewindv1.Process
 	file     *reload.File
@@ -138,7 +142,7 @@
 	incarnation := attempt.NewIncarnation(time.Now())
 	limits := process.GetLimits()
 	p := &Process{settings: process, logger: logger, metrics: m, journal: j, store: store, timers: timers, pool: pool}
-	p.file = reload.New(file.path, process, livingOfProcess, reloaded{file, logger, p.reload})
+	p.file = reload.New(file.path, process, reloadableProcessKeys, reloadSink{file, logger, p.reload})
 	p.servers = sidecar.NewHTTPCaller()
 	p.recorder = replay.NewRecorder(process.GetVm(), int(limits.GetRecordedEvents()))
 	p.gossip = gossip.New(member.Entry{
@@ -150,15 +154,15 @@
 		OnceAnswerBytes: int(limits.GetOnceAnswerBytes()),
 		Attempts:        int(limits.GetTombstones()),
 	}, store, j, p.servers, p.suspects)
-	own := &links{pool: pool, own: process.GetPeerAddress(), sidecar: p.sidecar}
+	links := &localLinks{pool: pool, ownAddress: process.GetPeerAddress(), sidecar: p.sidecar}
 	p.limiter = ratelimit.New(time.Now(), process.GetPeerAddress(), processPeers{pool}, limitsOf(store))
-	p.ingress = ingress.New(process.GetVm(), process.GetDataCentre(), store, j, own, p.gossip, m, p.recorder, p.limiter, p.suspects)
+	p.ingress = ingress.New(process.GetVm(), process.GetDataCentre(), store, j, links, p.gossip, m, p.recorder, p.limiter, p.suspects)
 	client := platform.NewClient(process.GetPlatformUrl(), nil)
 	p.reader = discovery.NewReader(client, client, p.gossip, m)
 	return p
 }
 
-// Start opens the listeners and begins all work, which ends with Stop.
+// Start opens the listeners and starts all components, which run until Stop.
 func (p *Process) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -171,7 +175,7 @@
 	p.ingress.Start(ctx, p.timers)
 	p.reader.Start(ctx)
 	p.file.Start(ctx, p.timers)
-	adaptGarbage(ctx, p.timers, p.settings.GetLimits().GetProcessorShare())
+	tuneGC(ctx, p.timers, p.settings.GetLimits().GetProcessorShare())
 	p.logger.Info("started", "vm", p.settings.GetVm(), "data_centre", p.settings.GetDataCentre(),
 		"ingress", p.settings.GetIngressAddress(), "peer", p.settings.GetPeerAddress(), "admin", p.settings.GetAdminAddress(), "version", Version)
 	return nil
@@ -185,20 +189,20 @@
 	slatewindv1.RegisterSidecarServer(p.peers, sidecarServer{sidecar: p.sidecar})
 	slatewindv1.RegisterPeerServer(p.peers, peerServer{gossip: p.gossip})
 	slatewindv1.RegisterRateLimitsServer(p.peers, link.LimitsServer{Grant: p.limiter.Grant})
-	return serveAll(p.logger, []service{
+	return serveAll(p.logger, []endpoint{
 		{"callers", p.settings.GetIngressAddress(), p.callers.Serve},
 		{"peers", p.settings.GetPeerAddress(), p.peers.Serve},
 		{"admin", p.settings.GetAdminAddress(), p.admin.Serve},
 	})
 }
 
-// Stop drains the process: no new work, everything in hand is finished, and
-// only then do the listeners close.
+// Stop drains the process: it takes no new work, finishes the work in progress, and
+// closes the listeners after that.
 func (p *Process) Stop(ctx context.Context) error {
-	p.drain("the process was told to stop")
+	p.drain("the process received a stop signal")
 	p.waitUntilIdle(ctx)
 	err := p.callers.Shutdown(ctx)
-	// Only idle gossip is left; calls in hand ended above.
+	// Only gossip is left; calls in progress ended above.
 	stopPeers(p.peers, drainNotice)
 	p.cancel()
 	p.logger.Info("stopped", "vm", p.settings.GetVm())
@@ -206,7 +210,7 @@
 	return errs.Combine(err, p.admin.Shutdown(ctx), p.pool.Close())
 }
 
-// drain announces that the process takes no new work.
+// drain announces to callers and peers that the process takes no new work.
 func (p *Process) drain(reason string) {
 	now := time.Now()
 	p.sidecar.Leave(now, reason)
@@ -214,7 +218,7 @@
 	p.gossip.Leave(now)
 }
 
-// waitUntilIdle waits until nothing is in hand, and a moment longer.
+// waitUntilIdle waits until no work has been in progress for drainNotice, for at most StopTimeout.
 func (p *Process) waitUntilIdle(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, StopTimeout)
 	defer cancel()
@@ -241,7 +245,7 @@
 
 // MembersChanged implements gossip.Events.
 func (p *Process) MembersChanged(now time.Time) {
-	p.listPeers(now)
+	p.updateLimiterPeers(now)
 	p.ingress.MembersChanged(now)
 }
 
@@ -252,7 +256,7 @@
 
 // SelfLeaving implements gossip.Events.
 func (p *Process) SelfLeaving(now time.Time) {
-	p.sidecar.Leave(now, "the platform's list has the VM as leaving")
+	p.sidecar.Leave(now, "the platform's VM list has the VM as leaving")
 }
 
 // Digests implements gossip.Events.
@@ -263,7 +267,7 @@
 func (p *Process) sources() admin.Sources {
 	return admin.Sources{
 		State:    p.state,
-		Settings: p.inForce,
+		Settings: p.settingsInForce,
 		Journal:  p.journal,
 		Metrics:  p.metrics.Handler(),
 		Record:   func() ([]byte, error) { return p.recorder.Trace(p.store.Current()) },
@@ -271,8 +275,8 @@
 	}
 }
 
-func (p *Process) inForce() admin.Settings {
-	return inForce(p.settings.GetVm(), p.store)
+func (p *Process) settingsInForce() admin.Settings {
+	return settingsInForce(p.settings.GetVm(), p.store)
 }
 
 func (p *Process) state() admin.State {
@@ -282,7 +286,7 @@
 		DataCentre:  p.settings.GetDataCentre(),
 		Version:     Version,
 		Time:        now,
-		Settings:    p.inForce(),
+		Settings:    p.settingsInForce(),
 		PlatformAge: p.gossip.PlatformAge(now).Round(time.Millisecond).String(),
 		Reader:      p.gossip.MayRead(now),
 		Ingress:     p.ingress.View(now),
@@ -293,24 +297,24 @@
 	}
 }
 
-// peerServer serves gossip to other processes.
+// peerServer implements the Peer service, by which other processes gossip with this one.
 type peerServer struct {
 	slatewindv1.UnimplementedPeerServer
 	gossip *gossip.Gossip
 }
 
-// Sync implements the generated interface.
+// Sync implements slatewindv1.PeerServer.
 func (s peerServer) Sync(ctx context.Context, request *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error) {
 	return s.gossip.Sync(ctx, request)
 }
 
-// Fetch implements the generated interface.
+// Fetch implements slatewindv1.PeerServer.
 func (s peerServer) Fetch(ctx context.Context, request *slatewindv1.FetchRequest) (*slatewindv1.FetchReply, error) {
 	return s.gossip.Fetch(ctx, request)
 }
 
-// NewLogger returns a logger that writes one line of key=value pairs for each
-// event to out.
+// NewLogger returns a logger that writes each event to out as one line of key=value pairs.
+// verbose sets the level debug instead of info.
 func NewLogger(out io.Writer, verbose bool) *log.Logger {
 	level := log.InfoLevel
 	if verbose {
--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -70,7 +70,7 @@
 			Key: fmt.Sprint("servers/x-", i), Revision: uint64(i), Fields: []platform.FieldError{{Field: "State", Cause: fmt.Errorf("unknown")}},
 		})
 	}
-	assert.Equal(t, len(entriesIgnored(f.nodes[0])), mostEntryLines)
+	assert.Equal(t, len(entriesIgnored(f.nodes[0])), maxEntryLines)
 	assert.Assert(t, strings.Contains(metricsText(f.nodes[0]), `slatewind_ignored_entries_total{field="State"`), metricsText(f.nodes[0]))
 	assert.Assert(t, strings.Contains(metricsText(f.nodes[0]), fmt.Sprint(" ", many, "\n")))
 }
--- a/daemon/memory_test.go
+++ b/daemon/gc_test.go
@@ -23,14 +23,14 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			g := newGarbage(test.share)
+			g := newGCTuner(test.share)
 			now, spent := time.Unix(1000, 0), time.Duration(0)
-			assert.Equal(t, g.step(now, spent), leastGCPercent, "nothing is known yet")
+			assert.Equal(t, g.sample(now, spent), minGCPercent, "nothing is known yet")
 			percent := 0
 			for range 100 {
 				now = now.Add(gcInterval)
 				spent += time.Duration(test.cores * float64(gcInterval))
-				percent = g.step(now, spent)
+				percent = g.sample(now, spent)
 			}
 			assert.Assert(t, percent >= test.percent-1 && percent <= test.percent, percent)
 		})
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -10,7 +10,8 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// limitsOf returns what tells a workspace's limit as the settings in force have it.
+// limitsOf returns a function that looks up a workspace's limit in the settings in force.
+// Before any settings are in force it returns a limit without a rate.
 func limitsOf(store *config.Store) func(workspace string) slatewind.WorkspaceLimit {
 	return func(workspace string) slatewind.WorkspaceLimit {
 		snapshot := store.Current()
@@ -21,8 +22,8 @@
 	}
 }
 
-// processPeers asks the other processes of a list of VMs for tokens. They are known by their
-// peer addresses.
+// processPeers takes rate-limit tokens from the other processes of the VM list, which it
+// identifies by their peer addresses.
 type processPeers struct{ pool *link.Pool }
 
 // Take implements ratelimit.Peers.
@@ -33,8 +34,8 @@
 // NotRunning implements ratelimit.Peers.
 func (processPeers) NotRunning(err error) bool { return link.NotRunning(err) }
 
-// listPeers tells the limiter which processes there are.
-func (p *Process) listPeers(now time.Time) {
+// updateLimiterPeers passes the current members to the limiter.
+func (p *Process) updateLimiterPeers(now time.Time) {
 	for _, m := range p.gossip.Members() {
 		if m.Live() && m.PeerAddress != "" {
 			p.limiter.Put(now, m.VM, m.PeerAddress)
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -12,26 +12,28 @@
 	"slatewind.example/slatewind/sidecar"
 )
 
-// newPool returns the connections to peers, whose bytes are counted.
+// newPool returns the pool of connections to peers. The bytes sent and received are counted in m.
 func newPool(m *metrics.Metrics) *link.Pool { return link.NewPool(m.Traffic) }
 
-// links sends what is for the own VM straight to the own sidecar.
-type links struct {
-	pool    *link.Pool
-	own     string
-	sidecar *sidecar.Sidecar
+// localLinks calls the sidecar of this process directly where a request is addressed to it, and
+// all others through the pool.
+type localLinks struct {
+	pool *link.Pool
+	// ownAddress is the peer address of this process.
+	ownAddress string
+	sidecar    *sidecar.Sidecar
 }
 
 // Run implements ingress.Links.
-func (l *links) Run(ctx context.Context, address string, request *slatewindv1.RunRequest) (*link.Reply, bool, error) {
-	if address != l.own {
+func (l *localLinks) Run(ctx context.Context, address string, request *slatewindv1.RunRequest) (*link.Reply, bool, error) {
+	if address != l.ownAddress {
 		return l.pool.Run(ctx, address, request)
 	}
 	parts := make(chan *slatewindv1.RunReply, 1)
-	failed := make(chan error, 1)
+	runErr := make(chan error, 1)
 	go func() {
 		defer close(parts)
-		failed <- l.sidecar.Run(ctx, request, func(part *slatewindv1.RunReply) error {
+		runErr <- l.sidecar.Run(ctx, request, func(part *slatewindv1.RunReply) error {
 			select {
 			case parts <- part:
 				return nil
@@ -46,7 +48,7 @@
 			if ok {
 				return part, nil
 			}
-			if err := <-failed; err != nil {
+			if err := <-runErr; err != nil {
 				return nil, err
 			}
 			return nil, io.EOF
@@ -58,16 +60,16 @@
 }
 
 // Cancel implements ingress.Links.
-func (l *links) Cancel(ctx context.Context, address string, request *slatewindv1.CancelRequest) (*slatewindv1.CancelReply, error) {
-	if address == l.own {
+func (l *localLinks) Cancel(ctx context.Context, address string, request *slatewindv1.CancelRequest) (*slatewindv1.CancelReply, error) {
+	if address == l.ownAddress {
 		return l.sidecar.Cancel(ctx, request)
 	}
 	return l.pool.Cancel(ctx, address, request)
 }
 
 // Seal implements ingress.Links.
-func (l *links) Seal(ctx context.Context, address string, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
-	if address == l.own {
+func (l *localLinks) Seal(ctx context.Context, address string, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
+	if address == l.ownAddress {
 		return l.sidecar.Seal(ctx, request)
 	}
 	return l.pool.Seal(ctx, address, request)
@@ -79,17 +81,17 @@
 	sidecar *sidecar.Sidecar
 }
 
-// Run implements the generated interface.
+// Run implements slatewindv1.SidecarServer.
 func (s sidecarServer) Run(request *slatewindv1.RunRequest, stream grpc.ServerStreamingServer[slatewindv1.RunReply]) error {
 	return s.sidecar.Run(stream.Context(), request, stream.Send)
 }
 
-// Cancel implements the generated interface.
+// Cancel implements slatewindv1.SidecarServer.
 func (s sidecarServer) Cancel(ctx context.Context, request *slatewindv1.CancelRequest) (*slatewindv1.CancelReply, error) {
 	return s.sidecar.Cancel(ctx, request)
 }
 
-// Seal implements the generated interface.
+// Seal implements slatewindv1.SidecarServer.
 func (s sidecarServer) Seal(ctx context.Context, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
 	return s.sidecar.Seal(ctx, request)
 }
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -13,22 +13,22 @@
 	"slatewind.example/slatewind/config"
 )
 
-// service is one listener of a process with what serves it.
-type service struct {
+// endpoint is a listener of a process and the function that serves it.
+type endpoint struct {
 	name    string
 	address string
 	serve   func(net.Listener) error
 }
 
-// serveAll opens all listeners and begins to serve; if one cannot be opened, the
-// others are closed again.
-func serveAll(logger *log.Logger, services []service) error {
-	listeners := make([]net.Listener, 0, len(services))
+// serveAll opens all listeners and then serves each in a goroutine of its own. If a listener
+// cannot be opened, it closes the others and returns the errors.
+func serveAll(logger *log.Logger, endpoints []endpoint) error {
+	listeners := make([]net.Listener, 0, len(endpoints))
 	var group errs.Group
-	for _, s := range services {
-		listener, err := net.Listen("tcp", s.address)
+	for _, e := range endpoints {
+		listener, err := net.Listen("tcp", e.address)
 		if err != nil {
-			group.Add(Error.New("cannot listen on %s: %w", s.address, err))
+			group.Add(Error.New("cannot listen on %s: %w", e.address, err))
 			continue
 		}
 		listeners = append(listeners, listener)
@@ -39,18 +39,18 @@
 		}
 		return group.Err()
 	}
-	for i, s := range services {
+	for i, e := range endpoints {
 		go func() {
-			if err := s.serve(listeners[i]); err != nil && !errors.Is(err, http.ErrServerClosed) {
-				logger.Error("listener ended", "listener", s.name, "error", err)
+			if err := e.serve(listeners[i]); err != nil && !errors.Is(err, http.ErrServerClosed) {
+				logger.Error("listener ended", "listener", e.name, "error", err)
 			}
 		}()
 	}
 	return nil
 }
 
-// inForce tells which settings are in force at a process.
-func inForce(vm string, store *config.Store) admin.Settings {
+// settingsInForce returns the version of the settings in force on a VM.
+func settingsInForce(vm string, store *config.Store) admin.Settings {
 	s := admin.Settings{VM: vm}
 	if current := store.Current(); current != nil {
 		s.Revision = current.Version.Revision
--- a/daemon/logwriter.go
+++ b/daemon/logwriter.go
@@ -12,60 +12,62 @@
 )
 
 const (
-	// logQueue is how many lines wait for a slow reader of the log. At some 300
-	// bytes a line that is 600 KB.
-	logQueue = 2048
-	// logReserve of it is kept for lines about requests that failed, were
-	// refused or were sent again; all others are left out before them.
-	logReserve = 1024
-	// logReport is how often the number of lines that were left out is logged.
-	logReport = time.Second
+	// logQueueLines bounds the lines that wait for a slow reader of the log. With some
+	// 300 bytes a line that is 600 KB.
+	logQueueLines = 2048
+	// logReservedLines is the part of the queue that is reserved for lines about requests
+	// that failed, were refused or were sent again; all other lines are dropped first.
+	logReservedLines = 1024
+	// logDropInterval is how often the number of dropped lines is logged.
+	logDropInterval = time.Second
 )
 
-// lastLeftOut marks the lines that are left out last, by the key and value that
-// newNodeHistory writes.
-var lastLeftOut = [][]byte{
+// priorityMarks are the key-value pairs, as newNodeHistory logs them, of the lines that may
+// use the reserved part of the queue.
+var priorityMarks = [][]byte{
 	[]byte("kind=" + slatewind.DecisionRefuse), []byte("kind=" + slatewind.DecisionUnknown),
 	[]byte("kind=" + slatewind.DecisionRetry), []byte("kind=" + slatewind.DecisionHedge),
 }
 
-// LogWriter hands lines to a reader that may be slow or stand still. Writing to
-// it never waits: what does not fit is left out and counted.
+// LogWriter passes log lines to a writer that may be slow or blocked. Write never
+// blocks: lines that do not fit into the queue are dropped and counted.
 type LogWriter struct {
 	lines chan []byte
-	ended chan struct{}
+	// done is closed when copy has returned.
+	done chan struct{}
 
 	mu sync.Mutex
-	// leftOut counts the lines left out since the last report, urgent those of
-	// them that are left out last.
-	leftOut, urgent int
+	// dropped counts the lines without priority, droppedPriority those with priority, that were
+	// dropped since the last report. Both are guarded by mu.
+	dropped, droppedPriority int
 }
 
-// NewLogWriter returns a writer whose lines go to out until ctx ends.
+// NewLogWriter returns a LogWriter that passes lines to out until ctx ends. Lines that are
+// queued by then are still written; see Wait.
 func NewLogWriter(ctx context.Context, out io.Writer) *LogWriter {
-	w := &LogWriter{lines: make(chan []byte, logQueue), ended: make(chan struct{})}
+	w := &LogWriter{lines: make(chan []byte, logQueueLines), done: make(chan struct{})}
 	go w.copy(ctx, out)
 	return w
 }
 
-// Write implements io.Writer for whole lines.
+// Write implements io.Writer. Each call has to pass one whole line.
 func (w *LogWriter) Write(line []byte) (int, error) {
-	urgent := isUrgent(line)
-	if !urgent && len(w.lines) >= logQueue-logReserve {
-		w.leaveOut(false)
+	priority := hasPriority(line)
+	if !priority && len(w.lines) >= logQueueLines-logReservedLines {
+		w.drop(false)
 		return len(line), nil
 	}
 	select {
 	case w.lines <- bytes.Clone(line):
 	default:
-		w.leaveOut(urgent)
+		w.drop(priority)
 	}
 	return len(line), nil
 }
 
-// isUrgent reports whether a line is one of those that are left out last.
-func isUrgent(line []byte) bool {
-	for _, mark := range lastLeftOut {
+// hasPriority reports whether a line may use the reserved part of the queue.
+func hasPriority(line []byte) bool {
+	for _, mark := range priorityMarks {
 		if bytes.Contains(line, mark) {
 			return true
 		}
@@ -73,21 +75,21 @@
 	return false
 }
 
-// leaveOut counts a line that is left out.
-func (w *LogWriter) leaveOut(urgent bool) {
+// drop counts a dropped line.
+func (w *LogWriter) drop(priority bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if urgent {
-		w.urgent++
+	if priority {
+		w.droppedPriority++
 		return
 	}
-	w.leftOut++
+	w.dropped++
 }
 
-// copy passes lines on and reports those that were left out.
+// copy writes queued lines to out and reports dropped ones.
 func (w *LogWriter) copy(ctx context.Context, out io.Writer) {
-	defer close(w.ended)
-	reports := time.NewTicker(logReport)
+	defer close(w.done)
+	reports := time.NewTicker(logDropInterval)
 	defer reports.Stop()
 	for {
 		select {
@@ -102,19 +104,19 @@
 	}
 }
 
-// lastLines bounds the wait for a reader that stands still at the end.
-const lastLines = 200 * time.Millisecond
+// flushTimeout bounds how long Wait waits for a blocked writer.
+const flushTimeout = 200 * time.Millisecond
 
-// Wait waits, after its context has ended, until all lines are passed on, but
-// not for long.
+// Wait waits, after the context of w has ended, until all queued lines are written, for at
+// most flushTimeout.
 func (w *LogWriter) Wait() {
 	select {
-	case <-w.ended:
-	case <-time.After(lastLines):
+	case <-w.done:
+	case <-time.After(flushTimeout):
 	}
 }
 
-// drain passes on what is left.
+// drain writes the lines that are left in the queue.
 func (w *LogWriter) drain(out io.Writer) {
 	for {
 		select {
@@ -127,13 +129,14 @@
 	}
 }
 
-// report writes how many lines were left out since the last report, if any.
+// report writes how many lines were dropped since the last report, if any. The message and its
+// keys are read by tools.
 func (w *LogWriter) report(out io.Writer) {
 	w.mu.Lock()
-	leftOut, urgent := w.leftOut, w.urgent
-	w.leftOut, w.urgent = 0, 0
+	dropped, droppedPriority := w.dropped, w.droppedPriority
+	w.dropped, w.droppedPriority = 0, 0
 	w.mu.Unlock()
-	if leftOut+urgent > 0 {
-		_, _ = fmt.Fprintf(out, "level=warn msg=\"lines left out\" about_requests=%d others=%d\n", urgent, leftOut)
+	if dropped+droppedPriority > 0 {
+		_, _ = fmt.Fprintf(out, "level=warn msg=\"lines left out\" about_requests=%d others=%d\n", droppedPriority, dropped)
 	}
 }
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -28,41 +28,42 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// Node is a running slatewindd beside one server that the platform's store lists:
-// an ingress for the callers of its VM and the sidecar of the server.
+// Node is a slatewindd beside one server that the platform's store lists. It is the
+// ingress for the callers of its VM and the sidecar of the server.
 type Node struct {
-	// settings are those of the start, living those that are in force now, as far as
-	// livingOfNode names them.
-	settings *slatewindv1.Process
-	living   atomic.Pointer[slatewindv1.Process]
-	file     *reload.File
-	logger   *log.Logger
-	metrics  *metrics.Metrics
-	history  *history.Journal
-	store    *config.Store
-	timers   *timer.Service
-	pool     *link.Pool
-	inbound  *inbound.Inbound
-	outbound *outbound.Outbound
-	share    *discovery.SharedSource
-	watcher  *discovery.Watcher
-	services *discovery.ServiceFilter
-	feed     *discovery.SettingsWatcher
-	// limiter keeps the limits of workspaces.
+	// settings are those that the node started with. For the keys of reloadableNodeKeys,
+	// reloadable has the values in force.
+	settings        *slatewindv1.Process
+	reloadable      atomic.Pointer[slatewindv1.Process]
+	file            *reload.File
+	logger          *log.Logger
+	metrics         *metrics.Metrics
+	history         *history.Journal
+	store           *config.Store
+	timers          *timer.Service
+	pool            *link.Pool
+	inbound         *inbound.Inbound
+	outbound        *outbound.Outbound
+	source          *discovery.SharedSource
+	watcher         *discovery.Watcher
+	services        *discovery.ServiceFilter
+	settingsWatcher *discovery.SettingsWatcher
+	// limiter enforces the rate limits of workspaces.
 	limiter *ratelimit.Limiter
-	// reports holds what is known of sick servers.
+	// reports holds the health reports of unhealthy servers.
 	reports *report.Table
-	// suspects holds what is known of requests under which servers ended, spreader tells others.
-	suspects *quarantine.Table
-	spreader *spreader
-	// entryLines bounds the lines about entries that name no server. Only the watcher's
+	// suspects holds the records of requests during which servers crashed; publisher sends
+	// new records to other nodes.
+	suspects  *quarantine.Table
+	publisher *recordPublisher
+	// entryLines limits the log lines about invalid server entries. Only the watcher's
 	// goroutine uses it.
 	entryLines throttle
 
 	stopping atomic.Bool
 	cancel   context.CancelFunc
 	callers  *http.Server
-	silent   silentConns
+	unused   unusedConns
 	ready    *http.Server
 	admin    *http.Server
 	peers    *grpc.Server
@@ -70,7 +71,7 @@
 
 // Open implements outbound.Opener.
 func (n *Node) Open(ctx context.Context, server slatewind.ServerEntry) (link.Use, error) {
-	peer, err := n.peerOf(server.Address)
+	peer, err := n.peerAddressOf(server.Address)
 	if err != nil {
 		return nil, err
 	}
@@ -80,9 +81,9 @@
 	return n.pool.Use(ctx, peer, server.DataCentre != n.settings.GetDataCentre())
 }
 
-// peerOf returns the peer address of the process on the VM of an address: every
-// VM of a fleet uses the same ports.
-func (n *Node) peerOf(address string) (string, error) {
+// peerAddressOf returns the peer address of the process on the VM of a server's address. All
+// VMs of a fleet use the same ports.
+func (n *Node) peerAddressOf(address string) (string, error) {
 	_, port, err := net.SplitHostPort(n.settings.GetPeerAddress())
 	if err != nil {
 		return "", Error.Wrap(err)
@@ -90,7 +91,7 @@
 	return net.JoinHostPort(outbound.HostOf(address), port), nil
 }
 
-// Start opens the listeners and begins all work, which ends with Stop.
+// Start opens the listeners and starts all components, which run until Stop.
 func (n *Node) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -98,12 +99,12 @@
 		cancel()
 		return err
 	}
-	n.spreader.start(ctx)
+	n.publisher.start(ctx)
 	n.inbound.Start(ctx, n.timers)
 	n.watcher.Start(ctx)
-	n.feed.Start(ctx)
+	n.settingsWatcher.Start(ctx)
 	n.file.Start(ctx, n.timers)
-	adaptGarbage(ctx, n.timers, n.settings.GetLimits().GetProcessorShare())
+	tuneGC(ctx, n.timers, n.settings.GetLimits().GetProcessorShare())
 	n.logger.Info("started", "vm", n.settings.GetVm(), "data_centre", n.settings.GetDataCentre(),
 		"service", n.settings.GetLocalServer().GetService(), "callers", n.settings.GetIngressAddress(),
 		"peer", n.settings.GetPeerAddress(), "admin", n.settings.GetAdminAddress(), "version", Version)
@@ -112,14 +113,14 @@
 
 // listen opens the four listeners.
 func (n *Node) listen() error {
-	n.callers = &http.Server{Handler: n.outbound, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ConnState: n.silent.note}
+	n.callers = &http.Server{Handler: n.outbound, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ConnState: n.unused.track}
 	n.ready = &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: readHeaderTimeout}
 	n.admin = &http.Server{Handler: admin.NewHandler(n.sources()), ReadHeaderTimeout: readHeaderTimeout}
 	n.peers = grpc.NewServer(link.ServerOptions()...)
 	slatewindv1.RegisterSlotsServer(n.peers, link.SlotsServer{Serve: n.inbound.Serve})
 	slatewindv1.RegisterRateLimitsServer(n.peers, link.LimitsServer{Grant: n.limiter.Grant})
-	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{UpdateSince: n.since, Exchange: n.exchange, ReceiveSuspects: n.told, CurrentSettings: n.feed.Current})
-	return serveAll(n.logger, []service{
+	slatewindv1.RegisterNewsServer(n.peers, &link.NewsServer{UpdateSince: n.since, Exchange: n.exchange, ReceiveSuspects: n.receiveRecords, CurrentSettings: n.settingsWatcher.Current})
+	return serveAll(n.logger, []endpoint{
 		{"callers", n.settings.GetIngressAddress(), n.callers.Serve},
 		{"ready", n.settings.GetReadyAddress(), n.ready.Serve},
 		{"peers", n.settings.GetPeerAddress(), n.peers.Serve},
@@ -127,7 +128,7 @@
 	})
 }
 
-// serveReady answers the platform's question whether callers may come.
+// serveReady is the readiness check of the platform: it answers 200 if the node can serve callers.
 func (n *Node) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != platform.ReadyPath || !n.isReady() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -136,19 +137,20 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// isReady reports whether callers can be served.
+// isReady reports whether callers can be served: the node is not stopping, has settings and
+// knows at least one server.
 func (n *Node) isReady() bool {
 	return !n.stopping.Load() && n.store.Current() != nil && n.outbound.Servers() > 0
 }
 
-// sources returns what the admin page shows.
+// sources returns the data sources of the admin address.
 func (n *Node) sources() admin.Sources {
 	return admin.Sources{
 		State:    n.state,
-		Settings: func() admin.Settings { return inForce(n.settings.GetVm(), n.store) },
+		Settings: func() admin.Settings { return settingsInForce(n.settings.GetVm(), n.store) },
 		Journal:  n.history,
 		Metrics:  n.metrics.Handler(),
-		Record:   func() ([]byte, error) { return nil, Error.New("a node keeps no trace of events") },
+		Record:   func() ([]byte, error) { return nil, Error.New("a node does not record a trace of events") },
 		Ready:    n.isReady,
 	}
 }
@@ -158,7 +160,7 @@
 	out, in, known := n.outbound.View(now), n.inbound.View(), n.watcher.Revision()
 	return admin.State{
 		VM: n.settings.GetVm(), DataCentre: n.settings.GetDataCentre(), Version: Version, Time: now,
-		Settings: inForce(n.settings.GetVm(), n.store), Reader: n.share.IsReader(), Outbound: &out, Inbound: &in, Known: &known,
+		Settings: settingsInForce(n.settings.GetVm(), n.store), Reader: n.source.IsReader(), Outbound: &out, Inbound: &in, Known: &known,
 		Limits: n.limiter.Uses(now), Suspects: n.suspects.Views(now),
 	}
 }
--- a/daemon/nodequarantine.go
+++ b/daemon/nodequarantine.go
@@ -11,63 +11,66 @@
 )
 
 const (
-	// spreadGather is how long news wait for others: one end concerns all requests of a server.
-	spreadGather = 2 * time.Millisecond
-	// spreadTime bounds one attempt to tell a process, spreadPause is the time from one that
-	// failed to the next: a connection that has gone silent is ended meanwhile.
-	spreadTime  = 500 * time.Millisecond
-	spreadPause = 300 * time.Millisecond
-	// spreadAttempts is how often one process is told at most. Whoever does not answer hears of
-	// it with the news that it asks for.
-	spreadAttempts = 3
-	// mostUnspread bounds the news that wait to be told.
-	mostUnspread = 256
-	// spreadAge bounds the time from the end of a server to when all processes of its service that
-	// run and can be reached know of it. The probe of the server that ended is part of it.
-	spreadAge = crash.ProbeTime + spreadGather + spreadAttempts*spreadTime + (spreadAttempts-1)*spreadPause
+	// publishBatchDelay is how long records are held back to be sent together: the crash of a
+	// server concerns all requests that it was running.
+	publishBatchDelay = 2 * time.Millisecond
+	// publishTimeout bounds one attempt to send records to a process, publishRetryDelay is the
+	// time from a failed attempt to the next. Within it, a connection that no longer delivers
+	// anything is closed, so that the next attempt opens a new one.
+	publishTimeout    = 500 * time.Millisecond
+	publishRetryDelay = 300 * time.Millisecond
+	// publishAttempts bounds the attempts for one process. A process that none of them reaches
+	// gets the records with the next update that it polls for.
+	publishAttempts = 3
+	// publishQueueSize bounds the batches of records that wait to be sent.
+	publishQueueSize = 256
+	// maxPublishDelay bounds the time from the end of a server until all processes of its service
+	// that run and can be reached know of it. The probe of the server that ended is part of it.
+	maxPublishDelay = crash.ProbeTime + publishBatchDelay + publishAttempts*publishTimeout + (publishAttempts-1)*publishRetryDelay
 )
 
-// spreader tells the processes beside the other servers of the service what happened to the
-// server beside this one: they are those who would give their servers the same request next.
-type spreader struct {
-	node *Node
-	news chan []quarantine.Record
-	// heard is the hash of what the process that was asked last knows.
-	heard atomic.Uint64
+// recordPublisher sends the quarantine records of the local server to the processes beside the
+// other servers of its service, since those would send the same request to their servers next.
+type recordPublisher struct {
+	node  *Node
+	queue chan []quarantine.Record
+	// peerSum is the hash of all records of the process that was polled last.
+	peerSum atomic.Uint64
 }
 
-func newSpreader(n *Node) *spreader {
-	return &spreader{node: n, news: make(chan []quarantine.Record, mostUnspread)}
+func newRecordPublisher(n *Node) *recordPublisher {
+	return &recordPublisher{node: n, queue: make(chan []quarantine.Record, publishQueueSize)}
 }
 
-// spread takes news that are to be told. Where too many wait, they go with other news.
-func (s *spreader) spread(records []quarantine.Record) {
+// enqueue queues records for publication. If the queue is full they are dropped here and reach
+// the other processes with later updates.
+func (p *recordPublisher) enqueue(records []quarantine.Record) {
 	select {
-	case s.news <- records:
+	case p.queue <- records:
 	default:
 	}
 }
 
-// start tells news until ctx ends.
-func (s *spreader) start(ctx context.Context) {
+// start publishes queued records until ctx ends.
+func (p *recordPublisher) start(ctx context.Context) {
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case records := <-s.news:
-				time.Sleep(spreadGather)
-				s.tell(ctx, append(records, s.waiting()...))
+			case records := <-p.queue:
+				time.Sleep(publishBatchDelay)
+				p.publish(ctx, append(records, p.queued()...))
 			}
 		}
 	}()
 }
 
-// waiting returns the news that came meanwhile.
-func (s *spreader) waiting() (records []quarantine.Record) {
+// queued takes all records from the queue without waiting.
+func (p *recordPublisher) queued() (records []quarantine.Record) {
 	for {
 		select {
-		case more := <-s.news:
+		case more := <-p.queue:
 			records = append(records, more...)
 		default:
 			return records
@@ -75,65 +78,67 @@
 	}
 }
 
-// tell tells all others of the service, each by itself: one that is silent holds up nobody.
-func (s *spreader) tell(ctx context.Context, records []quarantine.Record) {
-	local := s.node.settings.GetLocalServer()
-	for _, address := range s.node.outbound.Addresses(local.GetService()) {
+// publish sends records to all other processes of the service, to each in a goroutine of its own
+// so that one that does not answer delays no other.
+func (p *recordPublisher) publish(ctx context.Context, records []quarantine.Record) {
+	local := p.node.settings.GetLocalServer()
+	for _, address := range p.node.outbound.Addresses(local.GetService()) {
 		if address != local.GetAddress() {
-			go s.tellOne(ctx, address, records)
+			go p.publishTo(ctx, address, records)
 		}
 	}
 }
 
-// tellOne tells one process, again where that fails.
-func (s *spreader) tellOne(ctx context.Context, address string, records []quarantine.Record) {
-	peer, err := s.node.peerOf(address)
+// publishTo sends records to one process, with retries.
+func (p *recordPublisher) publishTo(ctx context.Context, address string, records []quarantine.Record) {
+	peer, err := p.node.peerAddressOf(address)
 	for attempt := 1; err == nil; attempt++ {
-		tried, cancel := context.WithTimeout(ctx, spreadTime)
-		failed := s.node.pool.SendSuspects(tried, peer, records)
+		attemptCtx, cancel := context.WithTimeout(ctx, publishTimeout)
+		attemptErr := p.node.pool.SendSuspects(attemptCtx, peer, records)
 		cancel()
-		if failed == nil {
+		if attemptErr == nil {
 			return
 		}
-		if attempt == spreadAttempts || ctx.Err() != nil {
-			err = failed
+		if attempt == publishAttempts || ctx.Err() != nil {
+			err = attemptErr
 			break
 		}
-		time.Sleep(spreadPause)
+		time.Sleep(publishRetryDelay)
 	}
-	s.node.logger.Debug("end of a server not told", "to", address, "cause", err)
+	p.node.logger.Debug("quarantine records not delivered", "to", address, "cause", err)
 }
 
-// listed writes down that a request is refused from now on.
-func (n *Node) listed(digest quarantine.Digest, verdict quarantine.Verdict) {
+// recordQuarantine adds to the journal that a request is refused from now on.
+func (n *Node) recordQuarantine(digest quarantine.Digest, verdict quarantine.Verdict) {
 	entry := verdict.Decision(time.Now(), digest)
 	entry.Service = n.settings.GetLocalServer().GetService()
 	n.history.Add(entry)
 }
 
-// tellsSuspects returns what goes with a question to another process: only a hash, as long as
-// both know the same.
-func (n *Node) tellsSuspects() link.Suspects {
+// suspectsToSend returns what is sent with a poll of another process: only the hash while the
+// hashes of both processes are the same, otherwise the records too.
+func (n *Node) suspectsToSend() link.Suspects {
 	now := time.Now()
-	told := link.Suspects{Sum: n.suspects.Sum(now)}
-	if told.Sum != n.spreader.heard.Load() {
-		told.Records = n.suspects.Records(now)
+	own := link.Suspects{Sum: n.suspects.Sum(now)}
+	if own.Sum != n.publisher.peerSum.Load() {
+		own.Records = n.suspects.Records(now)
 	}
-	return told
+	return own
 }
 
-// takeSuspects takes what came with an answer.
-func (n *Node) takeSuspects(told link.Suspects) {
-	n.spreader.heard.Store(told.Sum)
-	n.suspects.Merge(time.Now(), told.Records)
+// mergeSuspects adds the records of a reply to those of this process.
+func (n *Node) mergeSuspects(received link.Suspects) {
+	n.publisher.peerSum.Store(received.Sum)
+	n.suspects.Merge(time.Now(), received.Records)
 }
 
-// exchangeSuspects takes what another process told and returns what that one does not know.
-func (n *Node) exchangeSuspects(told link.Suspects) link.Suspects {
+// exchangeSuspects adds the records of another process and returns those of this one, unless
+// both have the same hash.
+func (n *Node) exchangeSuspects(received link.Suspects) link.Suspects {
 	now := time.Now()
-	n.suspects.Merge(now, told.Records)
+	n.suspects.Merge(now, received.Records)
 	own := link.Suspects{Sum: n.suspects.Sum(now)}
-	if own.Sum != told.Sum {
+	if own.Sum != received.Sum {
 		own.Records = n.suspects.Records(now)
 	}
 	return own
--- a/daemon/nodestop.go
+++ b/daemon/nodestop.go
@@ -14,47 +14,49 @@
 )
 
 const (
-	// defaultGrace is the time from the request to stop until the end by force
-	// where the bounds do not state it.
+	// defaultGrace is the time from the signal to stop until the process is killed,
+	// if the bounds do not state it.
 	defaultGrace = 6 * time.Second
-	// closeTime bounds how long a stop waits for the last bytes to peers.
-	closeTime = 200 * time.Millisecond
+	// peerCloseTimeout bounds how long a stop waits for replies to peers to be written.
+	peerCloseTimeout = 200 * time.Millisecond
 )
 
-// Stop drains the node: it is unready at once, and what it takes and when it ends follows
-// its course (package drain). What is not finished in time is answered as it stands.
+// Stop drains the node. The node is unready at once; which work it still takes and when it
+// ends is decided by drain.Schedule. Requests that are not finished in time are answered with
+// their state at that moment.
 func (n *Node) Stop(ctx context.Context) error {
-	course := drain.Schedule{Began: time.Now(), Grace: n.grace()}
+	schedule := drain.Schedule{Began: time.Now(), Grace: n.grace()}
 	n.stopping.Store(true)
-	n.outbound.Drain(course)
-	n.inbound.Drain(course, n.outbound.HasCallers)
-	n.waitUntilOver(ctx, course)
+	n.outbound.Drain(schedule)
+	n.inbound.Drain(schedule, n.outbound.HasCallers)
+	n.waitUntilOver(ctx, schedule)
 	n.outbound.End()
 	n.callers.SetKeepAlivesEnabled(false)
-	n.closeCallers(ctx, course)
-	n.waitForPeers(ctx, course)
-	stopPeers(n.peers, min(closeTime, time.Until(course.Ends())))
+	n.closeCallers(ctx, schedule)
+	n.waitForPeers(ctx, schedule)
+	stopPeers(n.peers, min(peerCloseTimeout, time.Until(schedule.Ends())))
 	n.cancel()
 	n.inbound.Close()
-	n.logger.Info("stopped", "vm", n.settings.GetVm(), "took", time.Since(course.Began).Round(time.Millisecond))
+	n.logger.Info("stopped", "vm", n.settings.GetVm(), "took", time.Since(schedule.Began).Round(time.Millisecond))
 	return errs.Combine(n.callers.Close(), n.ready.Close(), n.admin.Close(), n.pool.Close())
 }
 
-// grace returns the time that the platform gives a stop.
+// grace returns the time from the signal to stop until the platform kills the process.
 func (n *Node) grace() time.Duration {
-	if grace := n.living.Load().GetBounds().GetGrace().AsDuration(); grace > 0 {
+	if grace := n.reloadable.Load().GetBounds().GetGrace().AsDuration(); grace > 0 {
 		return grace
 	}
 	return defaultGrace
 }
 
-// waitUntilOver waits until the course is over.
-func (n *Node) waitUntilOver(ctx context.Context, course drain.Schedule) {
+// waitUntilOver waits until the schedule is over.
+func (n *Node) waitUntilOver(ctx context.Context, schedule drain.Schedule) {
 	for ctx.Err() == nil {
-		// What comes after this moment is decided about by a later one.
+		// now is read before the work is counted, so that a request that arrives in between is
+		// admitted or refused at a later time than now.
 		now := time.Now()
 		idle := n.outbound.InFlight() == 0 && n.inbound.InFlight() == 0
-		if course.Over(now, idle) {
+		if schedule.Over(now, idle) {
 			break
 		}
 		time.Sleep(drainPoll)
@@ -65,59 +67,60 @@
 }
 
 // closeCallers closes the callers' connections: at once those that are idle or have sent
-// nothing yet, those that wait for an answer once they have it, and all when the course ends.
-func (n *Node) closeCallers(ctx context.Context, course drain.Schedule) {
-	ending, cancel := context.WithDeadline(ctx, course.Ends())
+// nothing yet, those that wait for an answer after the answer, and all when the schedule ends.
+func (n *Node) closeCallers(ctx context.Context, schedule drain.Schedule) {
+	ending, cancel := context.WithDeadline(ctx, schedule.Ends())
 	defer cancel()
-	n.silent.closeAll()
+	n.unused.closeAll()
 	if err := n.callers.Shutdown(ending); err != nil {
 		n.logger.Warn("callers cut off by the stop", "callers", n.outbound.InFlight(), "cause", err)
 	}
 }
 
-// waitForPeers waits until the requests of other processes have run, as long as the course
-// lasts: to their callers this stop is none.
-func (n *Node) waitForPeers(ctx context.Context, course drain.Schedule) {
-	for n.inbound.InFlight() > 0 && ctx.Err() == nil && time.Now().Before(course.Ends().Add(-drainPoll)) {
+// waitForPeers waits until the requests of other processes have finished, at most until the
+// end of the schedule. Their callers must not notice that this process stops.
+func (n *Node) waitForPeers(ctx context.Context, schedule drain.Schedule) {
+	for n.inbound.InFlight() > 0 && ctx.Err() == nil && time.Now().Before(schedule.Ends().Add(-drainPoll)) {
 		time.Sleep(drainPoll)
 	}
 }
 
-// silentConns holds the callers' connections on which nothing came yet. The library waits
-// five seconds for them when it shuts down.
-type silentConns struct {
+// unusedConns holds the callers' connections on which nothing was received yet.
+// http.Server.Shutdown waits five seconds for them.
+type unusedConns struct {
+	// mu guards the fields below.
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	// closing says that no more are kept.
+	// closing says that new connections are closed at once.
 	closing bool
 }
 
-// note keeps a connection as long as nothing came on it, as http.Server.ConnState has it.
-func (s *silentConns) note(conn net.Conn, state http.ConnState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// track is the http.Server.ConnState hook: it holds a connection as long as nothing was received
+// on it.
+func (u *unusedConns) track(conn net.Conn, state http.ConnState) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	switch {
 	case state != http.StateNew:
-		delete(s.conns, conn)
-	case s.closing:
+		delete(u.conns, conn)
+	case u.closing:
 		_ = conn.Close()
 	default:
-		s.conns[conn] = true
+		u.conns[conn] = true
 	}
 }
 
-// closeAll closes them all, and those that still come.
-func (s *silentConns) closeAll() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closing = true
-	for conn := range s.conns {
+// closeAll closes all unused connections, and those that are opened later.
+func (u *unusedConns) closeAll() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.closing = true
+	for conn := range u.conns {
 		_ = conn.Close()
 	}
 }
 
-// stopPeers closes the connections of peers, with some time for answers that are on their
-// way.
+// stopPeers closes the connections of peers: gracefully for at most wait, then by force.
 func stopPeers(peers *grpc.Server, wait time.Duration) {
 	stopped := make(chan struct{})
 	go func() {
--- a/daemon/nodewiring.go
+++ b/daemon/nodewiring.go
@@ -24,8 +24,7 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// nodeOptions returns the wiring of a process whose servers are listed in the
-// platform's store.
+// nodeOptions returns the fx options of a Node.
 func nodeOptions(file settingsFile, process *slatewindv1.Process, logger *log.Logger) fx.Option {
 	return fx.Options(
 		commonOptions(file, process, logger),
@@ -36,8 +35,8 @@
 	)
 }
 
-// newNodeHistory logs every decision; those that touch a request are what
-// on-call engineers look for.
+// newNodeHistory returns a journal whose decisions are all logged at info level, also those about
+// single requests: on-call engineers look for these.
 func newNodeHistory(process *slatewindv1.Process, logger *log.Logger, m *metrics.Metrics) *history.Journal {
 	return history.New(int(process.GetLimits().GetJournalEntries()), func(d slatewind.Decision) {
 		m.Decision(d.Kind)
@@ -46,14 +45,14 @@
 	})
 }
 
-// newNode puts the parts of a node together.
+// newNode assembles the components of a node.
 func newNode(file settingsFile, process *slatewindv1.Process, logger *log.Logger, m *metrics.Metrics, j *history.Journal, store *config.Store, timers *timer.Service, pool *link.Pool) *Node {
-	n := &Node{settings: process, logger: logger, metrics: m, history: j, store: store, timers: timers, pool: pool, reports: report.NewTable(), silent: silentConns{conns: map[net.Conn]bool{}}}
-	n.entryLines = throttle{interval: entryLinesTime, most: mostEntryLines}
-	n.living.Store(process)
-	n.file = reload.New(file.path, process, livingOfNode, reloaded{file, logger, n.reload})
-	n.spreader = newSpreader(n)
-	n.suspects = quarantine.NewTable(n.spreader.spread, n.listed)
+	n := &Node{settings: process, logger: logger, metrics: m, history: j, store: store, timers: timers, pool: pool, reports: report.NewTable(), unused: unusedConns{conns: map[net.Conn]bool{}}}
+	n.entryLines = throttle{interval: entryLinesInterval, limit: maxEntryLines}
+	n.reloadable.Store(process)
+	n.file = reload.New(file.path, process, reloadableNodeKeys, reloadSink{file, logger, n.reload})
+	n.publisher = newRecordPublisher(n)
+	n.suspects = quarantine.NewTable(n.publisher.enqueue, n.recordQuarantine)
 	n.inbound = inbound.New(inbound.Server{
 		Service: process.GetLocalServer().GetService(),
 		Address: process.GetLocalServer().GetAddress(),
@@ -65,10 +64,10 @@
 		platform.Callers(), store, j, n, n.inbound, m, n.reports, n.limiter, n.suspects,
 	)
 	client := platform.NewClient("http://"+process.GetStore().GetAddress(), func(call platform.Call, err error) { m.PlatformCall(string(call), err) })
-	n.share = discovery.NewSharedSource(client, nodePeers{n}, process.GetLocalServer().GetAddress(), process.GetSeedPeers())
+	n.source = discovery.NewSharedSource(client, nodePeers{n}, process.GetLocalServer().GetAddress(), process.GetSeedPeers())
 	n.services = discovery.NewServiceFilter(n)
-	n.watcher = discovery.NewWatcher(n.share, n.services)
-	n.feed = discovery.NewSettingsWatcher(client, nodePeers{n}, n.share, n)
-	n.share.Attach(n.watcher, n.feed, process.GetDataCentre())
+	n.watcher = discovery.NewWatcher(n.source, n.services)
+	n.settingsWatcher = discovery.NewSettingsWatcher(client, nodePeers{n}, n.source, n)
+	n.source.Attach(n.watcher, n.settingsWatcher, process.GetDataCentre())
 	return n
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -9,20 +9,22 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// mostSuspects bounds the records that an exchange of gossip tells, some 60 bytes each.
-const mostSuspects = 16
+// maxGossipSuspects bounds the records in one gossip message, some 60 bytes each.
+const maxGossipSuspects = 16
 
-// newSuspects returns the table of a process with a list of VMs.
+// newSuspects returns the quarantine table of a Process. New records are sent at once to the VMs
+// that have servers of the same services.
 func (p *Process) newSuspects() *quarantine.Table {
-	spread := func(records []quarantine.Record) { p.gossip.Tell(p.sameServices(), link.SuspectsOf(records)) }
-	listed := func(digest quarantine.Digest, verdict quarantine.Verdict) {
+	publish := func(records []quarantine.Record) { p.gossip.Tell(p.vmsOfSameServices(), link.SuspectsOf(records)) }
+	recordQuarantine := func(digest quarantine.Digest, verdict quarantine.Verdict) {
 		p.journal.Add(verdict.Decision(time.Now(), digest))
 	}
-	return quarantine.NewTable(spread, listed)
+	return quarantine.NewTable(publish, recordQuarantine)
 }
 
-// sameServices returns the other VMs that have servers of a service of which this one has some.
-func (p *Process) sameServices() []string {
+// vmsOfSameServices returns the other VMs that have servers of the services of this VM's servers,
+// sorted and without duplicates.
+func (p *Process) vmsOfSameServices() []string {
 	snapshot := p.store.Current()
 	if snapshot == nil {
 		return nil
@@ -49,7 +51,7 @@
 // Suspects implements gossip.Events.
 func (p *Process) Suspects(now time.Time) []*slatewindv1.Suspect {
 	records := p.suspects.Records(now)
-	return link.SuspectsOf(records[:min(len(records), mostSuspects)])
+	return link.SuspectsOf(records[:min(len(records), maxGossipSuspects)])
 }
 
 // HeardSuspects implements gossip.Events.
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -83,7 +83,7 @@
 // TestSpreadBound: all processes of a service that run and can be reached know of a server's end
 // before the request may not come any more, also where a connection between them went silent.
 func TestSpreadBound(t *testing.T) {
-	assert.Assert(t, spreadAge < knownTime, "%s", spreadAge)
+	assert.Assert(t, maxPublishDelay < knownTime, "%s", maxPublishDelay)
 }
 
 // deadlyUntil sends a deadly request to all nodes in turn until so many servers ended, and until
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -52,7 +52,7 @@
 func TestLogLevel(t *testing.T) {
 	logger := log.New(io.Discard)
 	logger.SetLevel(log.InfoLevel)
-	r := reloaded{settingsFile{level: log.InfoLevel}, logger, func(*slatewindv1.Process) {}}
+	r := reloadSink{settingsFile{level: log.InfoLevel}, logger, func(*slatewindv1.Process) {}}
 	for _, step := range []struct {
 		named slatewind.LogLevel
 		want  log.Level
@@ -73,7 +73,7 @@
 	}
 	f.await("the new bounds everywhere", func() bool {
 		for _, n := range f.nodes {
-			if n.living.Load().GetBounds().GetRetrySlack() != 1e6 {
+			if n.reloadable.Load().GetBounds().GetRetrySlack() != 1e6 {
 				return false
 			}
 		}
--- a/daemon/restored_test.go
+++ b/daemon/restored_test.go
@@ -83,7 +83,7 @@
 // follower returns a node that does not read the store.
 func (f *nodes) follower() int {
 	f.t.Helper()
-	return slices.IndexFunc(f.nodes, func(n *Node) bool { return !n.share.IsReader() })
+	return slices.IndexFunc(f.nodes, func(n *Node) bool { return !n.source.IsReader() })
 }
 
 // TestLeavingForgottenByRestore: a server that said that it leaves gets no requests though the copy has it as staying.
@@ -163,5 +163,5 @@
 // reader returns a node that reads the store.
 func (f *nodes) reader() int {
 	f.t.Helper()
-	return slices.IndexFunc(f.nodes, func(n *Node) bool { return n.share.IsReader() })
+	return slices.IndexFunc(f.nodes, func(n *Node) bool { return n.source.IsReader() })
 }
--- a/daemon/throttle.go
+++ b/daemon/throttle.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// throttle decides which of many similar events are told of: so many in each interval.
+// throttle limits how many of many similar events are logged in each interval.
 type throttle struct {
 	interval time.Duration
-	most     int
+	limit    int
 
-	began time.Time
-	told  int
-	// leftOut counts those that were not told of since the last that was.
+	intervalStart time.Time
+	// logged counts the events that were logged in the current interval.
+	logged int
+	// leftOut counts the events that were not logged since the last one that was.
 	leftOut int
 }
 
-// allow reports whether an event is told of, and if it is how many before it were not.
+// allow reports whether an event is to be logged, and if so how many were left out since the
+// last one that was logged.
 func (t *throttle) allow(now time.Time) (allowed bool, leftOut int) {
-	if t.began.IsZero() || now.Sub(t.began) >= t.interval {
-		t.began, t.told = now, 0
+	if t.intervalStart.IsZero() || now.Sub(t.intervalStart) >= t.interval {
+		t.intervalStart, t.logged = now, 0
 	}
-	if t.told >= t.most {
+	if t.logged >= t.limit {
 		t.leftOut++
 		return false, 0
 	}
-	t.told++
+	t.logged++
 	leftOut, t.leftOut = t.leftOut, 0
 	return true, leftOut
 }
--- a/daemon/throttle_test.go
+++ b/daemon/throttle_test.go
@@ -11,7 +11,7 @@
 // one that is says how many were not.
 func TestThrottle(t *testing.T) {
 	start := time.Unix(1000, 0)
-	th := &throttle{interval: time.Second, most: 2}
+	th := &throttle{interval: time.Second, limit: 2}
 	tests := []struct {
 		at      time.Duration
 		allowed bool
--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -64,7 +64,7 @@
 		part:    soak.PartStops,
 		edits: []overlay.Edit{{
 			File: "daemon/nodestop.go",
-			From: `	n.waitUntilOver(ctx, course)
+			From: `	n.waitUntilOver(ctx, schedule)
 	n.outbound.End()
 	n.callers.SetKeepAlivesEnabled(false)`,
 			To: `	n.callers.SetKeepAlivesEnabled(false)
