--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -10,18 +10,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// benchNodes is how many nodes the benchmarks run; their stand-ins share the process.
+// benchNodes is how many nodes the benchmarks run. The stand-ins run in the same process.
 const benchNodes = 2
 
-// processorTime returns how much processor time this process has used.
+// processorTime returns the user and system time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkQuietNode gives what a node without requests costs: milliseconds of processor
-// time a second.
+// BenchmarkQuietNode measures the processor time of a node without requests, in milliseconds
+// per second.
 func BenchmarkQuietNode(b *testing.B) {
 	newNodes(b, benchNodes)
 	time.Sleep(time.Second)
@@ -34,8 +34,8 @@
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(benchNodes*b.N), "cpu-ms/node-second")
 }
 
-// BenchmarkNodeRequest gives what a request costs that begins at one node and runs beside
-// another: microseconds of processor time, those of caller and server included.
+// BenchmarkNodeRequest measures the processor time of a request that is received by one node and
+// may run beside another, in microseconds, caller and server included.
 func BenchmarkNodeRequest(b *testing.B) {
 	f := newNodes(b, benchNodes)
 	for i := range 10 * benchNodes {
--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -14,7 +14,7 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// entriesIgnored returns the decisions of a node that tell of entries which name no server.
+// entriesIgnored returns the decisions of a node about invalid server entries.
 func entriesIgnored(n *Node) []slatewind.Decision {
 	var list []slatewind.Decision
 	for _, d := range n.history.Find(history.Filter{}) {
@@ -25,20 +25,20 @@
 	return list
 }
 
-// metricsText returns a node's figures.
+// metricsText returns a node's metrics as the admin address serves them.
 func metricsText(n *Node) string {
 	w := httptest.NewRecorder()
 	n.metrics.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
 }
 
-// TestNodeIgnoresForeignEntry: a server whose entry another writer spoilt gets nothing,
-// from the process beside it neither, until its own word stands there again; operators
-// read why, and the others go on.
+// TestNodeIgnoresForeignEntry checks that a server whose entry was overwritten by an invalid one
+// gets no requests, also not from the process beside it, until it writes its entry again. The
+// journal states the reason, and the other servers keep serving.
 func TestNodeIgnoresForeignEntry(t *testing.T) {
 	f := newNodes(t, 2)
 	f.store.Put(platform.ServersPrefix+"s-0", []byte(`{"Service":"svc","Address":"x"}`))
-	f.await("the entry to be ignored", func() bool {
+	f.await("the entry is ignored", func() bool {
 		return f.nodes[0].inbound.View().Leaving != "" && f.nodes[0].outbound.Servers() == 1 && f.nodes[1].outbound.Servers() == 1
 	})
 	before := f.servers[0].Arrivals()
@@ -46,22 +46,22 @@
 		assert.Equal(t, f.send(i%2, "/pay/1", fmt.Sprint("id-", i)), 200)
 	}
 	assert.Equal(t, f.servers[0].Arrivals(), before)
-	told := append(entriesIgnored(f.nodes[0]), entriesIgnored(f.nodes[1])...)
-	assert.Assert(t, len(told) > 0)
-	for _, d := range told {
+	ignored := append(entriesIgnored(f.nodes[0]), entriesIgnored(f.nodes[1])...)
+	assert.Assert(t, len(ignored) > 0)
+	for _, d := range ignored {
 		assert.Equal(t, d.Server, "s-0")
 		assert.Assert(t, strings.Contains(d.Evidence, "key=servers/s-0 revision=4"), d.Evidence)
 		assert.Assert(t, strings.Contains(d.Reason, "Address: not an IP address with a port"), d.Reason)
 	}
 	f.enter(0, false)
-	f.await("the server to be back", func() bool {
+	f.await("the server is back", func() bool {
 		return f.nodes[0].inbound.View().Leaving == "" && f.nodes[0].outbound.Servers() == 2 && f.nodes[1].outbound.Servers() == 2
 	})
 }
 
-// TestForeignEntriesAreToldOfSparingly: a writer that never ends fills neither the log nor
-// the journal; all of its entries are counted.
-func TestForeignEntriesAreToldOfSparingly(t *testing.T) {
+// TestForeignEntriesAreThrottled checks that a stream of invalid entries fills neither the log nor
+// the journal, while the metric counts all of them.
+func TestForeignEntriesAreThrottled(t *testing.T) {
 	f := newNodes(t, 1)
 	now := time.Unix(1000, 0)
 	const many = 500
--- a/daemon/leaving_test.go
+++ b/daemon/leaving_test.go
@@ -10,15 +10,15 @@
 	"slatewind.example/slatewind/discovery"
 )
 
-// leastLeavingTime is the least time, of all deployments, from a server's word that
-// it leaves until it must get no new work.
-const leastLeavingTime = 2 * time.Second
+// minLeavingTime is the shortest time, over all deployments, from a server's entry that it is
+// leaving until it must get no new work.
+const minLeavingTime = 2 * time.Second
 
-// TestLeavingBound adds up how late a request may reach a server that leaves. The
-// process beside it learns of it within discovery.MaxViewAge and checks each request
-// before it looks for a connection; to open one takes at most backend.DialTimeout.
-// That is as true of the process where the request began, which gives back slots
-// of servers that it knows to leave, but for the way to the other process.
+// TestLeavingBound checks the sum of the delays after which a request may still reach a
+// leaving server. The process beside the server knows of it within discovery.MaxViewAge and
+// checks each request before it looks for a connection; opening one takes at most
+// backend.DialTimeout. The process where the request began has the same bound plus the delay
+// to the other process: it gives back slots of servers that it knows to be leaving.
 func TestLeavingBound(t *testing.T) {
-	assert.Assert(t, discovery.MaxViewAge+backend.DialTimeout < leastLeavingTime, "%s and %s", discovery.MaxViewAge, backend.DialTimeout)
+	assert.Assert(t, discovery.MaxViewAge+backend.DialTimeout < minLeavingTime, "%s and %s", discovery.MaxViewAge, backend.DialTimeout)
 }
--- a/daemon/logwriter_test.go
+++ b/daemon/logwriter_test.go
@@ -12,25 +12,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// still is a reader of the log that stands still until it is let go.
-type still struct {
+// blockedWriter is a log destination that blocks until gate is closed.
+type blockedWriter struct {
 	gate chan struct{}
+	// mu guards text.
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (s *still) Write(p []byte) (int, error) {
-	<-s.gate
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.gate
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.text.Write(p)
 }
 
-// TestLogStandsStill: a reader of the log that stands still costs only lines,
-// those about requests last, and is told how many.
-func TestLogStandsStill(t *testing.T) {
+// TestBlockedLog checks that a blocked log destination never blocks Write: lines are dropped, those
+// about requests last, and the number of dropped lines is logged.
+func TestBlockedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &still{gate: make(chan struct{})}
+		out := &blockedWriter{gate: make(chan struct{})}
 		ctx, cancel := context.WithCancel(t.Context())
 		w := NewLogWriter(ctx, out)
 		const lines = 3000
@@ -48,7 +49,7 @@
 		cancel()
 		synctest.Wait()
 		text := out.text.String()
-		assert.Equal(t, strings.Count(text, "kind=refuse"), refusals, "they go last")
+		assert.Equal(t, strings.Count(text, "kind=refuse"), refusals, "lines about requests are dropped last")
 		others := strings.Count(text, "kind=settings")
 		assert.Assert(t, others < lines)
 		assert.Assert(t, strings.Contains(text, fmt.Sprintf("about_requests=0 others=%d", lines-others)))
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -30,7 +30,7 @@
 	"slatewind.example/slatewind/timer"
 )
 
-// nodeRoute is a route for one kind of request to the only service.
+// nodeRoute returns a route for one kind of request to the service "svc".
 func nodeRoute(name string, kind slatewind.Kind) *slatewindv1.Route {
 	return &slatewindv1.Route{
 		Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Kind: string(kind), Service: "svc", Attempts: 2,
@@ -38,28 +38,28 @@
 	}
 }
 
-// nodes is a small fleet of nodes in one process, each with an IP of its own,
-// in front of a store and servers that are stand-ins.
+// nodes is a small fleet of nodes in the test's process, each with its own loopback IP, with
+// stand-ins for the store and the servers.
 type nodes struct {
 	t       testing.TB
 	store   *standin.Platform
 	web     *httptest.Server
 	servers []*standin.Stamped
-	// crashers are the processes of the servers.
+	// crashers simulate the processes of the servers, which can crash.
 	crashers []*standin.Crasher
 	nodes    []*Node
 	base     string
-	// files are the settings files of the nodes, empty until a test writes one.
+	// files are the paths of the nodes' settings files. A file exists once a test has written it.
 	files []string
 }
 
-// crashTime is how long a server is away that ended under a deadly request.
+// crashTime is how long a server is down after a request has crashed it.
 const crashTime = 300 * time.Millisecond
 
-// isDeadly reports whether servers end under a request.
-func isDeadly(r *http.Request) bool { return strings.HasPrefix(path.Base(r.URL.Path), "deadly") }
+// crashesServers reports whether a request crashes the servers that run it.
+func crashesServers(r *http.Request) bool { return strings.HasPrefix(path.Base(r.URL.Path), "deadly") }
 
-// nextNet gives each test addresses of its own on loopback.
+// nextNet numbers the loopback networks, so that each test has its own.
 var nextNet atomic.Int64
 
 func newNodes(t testing.TB, n int) *nodes {
@@ -69,7 +69,7 @@
 	f.publish(1)
 	for i := range n {
 		server := standin.NewStamped(fmt.Sprint("s-", i), platform.Servers())
-		crasher, err := standin.NewCrasher(f.address(i, 9000), server, isDeadly, crashTime)
+		crasher, err := standin.NewCrasher(f.address(i, 9000), server, crashesServers, crashTime)
 		assert.NilError(t, err)
 		t.Cleanup(crasher.Close)
 		f.servers, f.crashers = append(f.servers, server), append(f.crashers, crasher)
@@ -93,7 +93,7 @@
 	f.store.Put(platform.ConfigKey, value)
 }
 
-// enter writes the entry of a server as the server does.
+// enter writes the entry of a server to the store, as the server does.
 func (f *nodes) enter(i int, leaving bool) {
 	name := fmt.Sprint("s-", i)
 	value, err := platform.EncodeServer(slatewind.ServerEntry{
@@ -103,7 +103,7 @@
 	f.store.Put(platform.ServersPrefix+name, value)
 }
 
-// settings returns those of a node, with which it starts.
+// settings returns the settings with which a node starts.
 func (f *nodes) settings(i int) *slatewindv1.Process {
 	return &slatewindv1.Process{
 		Vm: fmt.Sprint("vm-", i), DataCentre: "dc",
@@ -135,7 +135,7 @@
 	return n
 }
 
-// end ends a node at once, as a kill does.
+// end ends a node without a drain, as a kill does.
 func (f *nodes) end(n *Node) {
 	n.cancel()
 	_ = n.callers.Close()
@@ -166,7 +166,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatal("waited in vain for: ", what)
+	f.t.Fatal("timed out waiting for: ", what)
 }
 
 // send sends a request to a node and returns its status.
@@ -192,7 +192,7 @@
 	return n
 }
 
-// TestNodesServe: a request that begins at any node is run once by some server.
+// TestNodesServe checks that a request that is received by any node is run once by one server.
 func TestNodesServe(t *testing.T) {
 	f := newNodes(t, 3)
 	for i := range 30 {
@@ -202,12 +202,12 @@
 	}
 }
 
-// TestNodeLeavesDrainingServer: a server whose entry says draining gets nothing
-// from any node.
+// TestNodeLeavesDrainingServer checks that a server whose entry has the state draining gets no
+// requests from any node.
 func TestNodeLeavesDrainingServer(t *testing.T) {
 	f := newNodes(t, 2)
 	f.enter(0, true)
-	f.await("the drain to be heard", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
+	f.await("the drain is known", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
 	before := f.servers[0].Arrivals()
 	for i := range 20 {
 		assert.Equal(t, f.send(i%2, "/pay/1", fmt.Sprint("id-", i)), http.StatusOK)
@@ -215,8 +215,8 @@
 	assert.Equal(t, f.servers[0].Arrivals(), before)
 }
 
-// TestNodeStopCutsOffNothing: a node that is told to stop is unready at once,
-// finishes what it has in both roles, and loses no request.
+// TestNodeStopCutsOffNothing checks that a stopping node is unready at once and finishes its
+// requests both as ingress and as sidecar.
 func TestNodeStopCutsOffNothing(t *testing.T) {
 	f := newNodes(t, 2)
 	for _, server := range f.servers {
@@ -226,7 +226,7 @@
 	for i := range cap(results) {
 		go func() { results <- f.send(i%2, "/pay/1", fmt.Sprint("id-", i)) }()
 	}
-	f.await("both servers to work", func() bool { return f.servers[0].Arrivals() > 0 && f.servers[1].Arrivals() > 0 })
+	f.await("both servers have requests", func() bool { return f.servers[0].Arrivals() > 0 && f.servers[1].Arrivals() > 0 })
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.nodes[0].Stop(context.Background()) }()
 	f.await("node 0 unready", func() bool { return !f.ready(0) })
@@ -245,8 +245,8 @@
 	assert.NilError(t, <-stopped)
 }
 
-// TestNodeStartsWithoutStore: a node that starts while the store is away learns
-// settings and servers from a seed, and the newest ones.
+// TestNodeStartsWithoutStore checks that a node that starts while the store is down gets the
+// newest settings and the servers from a seed peer.
 func TestNodeStartsWithoutStore(t *testing.T) {
 	f := newNodes(t, 3)
 	f.publish(7)
@@ -266,11 +266,11 @@
 	assert.Equal(t, f.send(2, "/pay/1", "id"), http.StatusOK)
 }
 
-// TestNodeOutlivesStore: while the store is away all goes on.
-func TestNodeOutlivesStore(t *testing.T) {
+// TestNodesServeWithoutStore checks that nodes keep serving while the store is down.
+func TestNodesServeWithoutStore(t *testing.T) {
 	f := newNodes(t, 2)
 	f.store.SetMode(standin.PlatformDown)
-	f.await("the loss to be noticed", func() bool { return f.store.Calls()["watch"] > 6 })
+	f.await("the loss is noticed", func() bool { return f.store.Calls()["watch"] > 6 })
 	for i := range 10 {
 		assert.Equal(t, f.send(i%2, "/look/1", fmt.Sprint("id-", i)), http.StatusOK)
 	}
--- a/daemon/process_test.go
+++ b/daemon/process_test.go
@@ -25,8 +25,8 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// These tests start real slatewindd processes on loopback, with the stand-ins in
-// the test's own process, and wait for events, not for guessed times.
+// These tests start real slatewindd processes on loopback, with the stand-ins in the
+// test's own process, and wait for events instead of fixed times.
 
 var program string
 
@@ -45,11 +45,10 @@
 	os.Exit(code)
 }
 
-// patience bounds every wait for an event; it is no part of any verdict that a
-// healthy run comes near to.
-const patience = 30 * time.Second
+// eventTimeout bounds every wait for an event. It is far above the times of a passing run.
+const eventTimeout = 30 * time.Second
 
-// process is one slatewindd on one VM with one server.
+// process is a slatewindd on a VM with one server.
 type process struct {
 	vm, ingress, peer, admin string
 	server                   *standin.Server
@@ -57,7 +56,7 @@
 	command                  *exec.Cmd
 }
 
-// mesh is a small fleet.
+// mesh is a small fleet of processes with a stand-in for the platform.
 type mesh struct {
 	t         *testing.T
 	platform  *standin.Platform
@@ -68,9 +67,9 @@
 // nextVM numbers the VMs of all tests of this run.
 var nextVM atomic.Int32
 
-// newIP returns a loopback IP that no other VM of this run has, nor one of a run
-// beside it. Ports on it are fixed: a port that was found free and let go may be
-// taken by somebody else before the process listens on it.
+// newIP returns a loopback IP that no other VM of this test run uses, nor one of a concurrent
+// run. The ports on it are fixed: a port that was found free and released could be taken by
+// another program before the process listens on it.
 func newIP() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, nextVM.Add(1))
@@ -140,17 +139,17 @@
 // await waits until an event has happened.
 func (m *mesh) await(what string, happened func() bool) {
 	m.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(eventTimeout)
 	for !happened() {
 		if time.Now().After(deadline) {
-			m.t.Fatalf("waited in vain for: %s", what)
+			m.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// awaitKnown waits until each process has heard of each other one by contact or
-// gossip, so that it knows their incarnations.
+// awaitKnown waits until each process knows the incarnations of all others, by contact or
+// gossip.
 func (m *mesh) awaitKnown() {
 	m.t.Helper()
 	for _, p := range m.processes {
@@ -186,7 +185,7 @@
 	return response.StatusCode
 }
 
-// started counts the requests that the servers have begun.
+// started returns the number of requests that the servers have started.
 func (m *mesh) started() int {
 	n := 0
 	for _, p := range m.processes {
@@ -195,8 +194,8 @@
 	return n
 }
 
-// told is what a caller got.
-type told struct {
+// result is the response to a caller.
+type result struct {
 	outcome slatewind.Outcome
 	header  http.Header
 	status  int
@@ -204,10 +203,10 @@
 	err     error
 }
 
-func send(p *process, method, path, key string, attempt int) told {
+func send(p *process, method, path, key string, attempt int) result {
 	r, err := http.NewRequest(method, "http://"+p.ingress+path, strings.NewReader(""))
 	if err != nil {
-		return told{err: err}
+		return result{err: err}
 	}
 	r.Header.Set(standin.HeaderNonce, key)
 	if attempt > 0 {
@@ -217,29 +216,28 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
-		return told{err: err}
+		return result{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	t := told{outcome: slatewind.Outcome(response.Header.Get(ingress.HeaderOutcome)), header: response.Header, status: response.StatusCode, body: string(body), err: err}
-	if t.outcome == "" && err == nil {
-		t.outcome = slatewind.OutcomeAnswer
+	got := result{outcome: slatewind.Outcome(response.Header.Get(ingress.HeaderOutcome)), header: response.Header, status: response.StatusCode, body: string(body), err: err}
+	if got.outcome == "" && err == nil {
+		got.outcome = slatewind.OutcomeAnswer
 	}
-	return t
+	return got
 }
 
-// whole reports whether a caller got its own whole answer.
-func (t told) whole(nonce string) bool {
-	return t.err == nil && t.status == http.StatusOK && strings.Contains(t.body, " nonce="+nonce+" ") && strings.HasSuffix(t.body, "end\n")
+// whole reports whether a caller got the complete answer to its own request.
+func (r result) whole(nonce string) bool {
+	return r.err == nil && r.status == http.StatusOK && strings.Contains(r.body, " nonce="+nonce+" ") && strings.HasSuffix(r.body, "end\n")
 }
 
-// callersInHand has callers wait for answers at the servers, half of them through
-// each of two processes. What it returns waits for the answers, which must all be
-// whole.
-func (m *mesh) callersInHand() (awaitAnswers func()) {
+// startCallers sends requests, half of them through each of two processes, and returns once all
+// are at the servers. The returned function waits for the answers and checks that all are whole.
+func (m *mesh) startCallers() (awaitAnswers func()) {
 	m.t.Helper()
 	const each = 10
-	answers := make([]told, 2*each)
+	answers := make([]result, 2*each)
 	var group sync.WaitGroup
 	for i := range answers {
 		group.Go(func() { answers[i] = send(m.processes[i%2], http.MethodGet, "/prices/1", fmt.Sprint("n", i), 0) })
@@ -254,12 +252,11 @@
 	}
 }
 
-// TestPlannedStopCutsOffNothing: a process gets SIGTERM while callers wait for
-// answers through its ingress and through its sidecar. All get their whole
-// answers, and the process ends in order.
+// TestPlannedStopCutsOffNothing checks that a process that gets SIGTERM while callers wait for
+// answers through its ingress and its sidecar delivers all of them whole and exits with code 0.
 func TestPlannedStopCutsOffNothing(t *testing.T) {
 	m := newMesh(t, 2, 300*time.Millisecond)
-	awaitAnswers := m.callersInHand()
+	awaitAnswers := m.startCallers()
 	stopping := m.processes[0]
 	assert.NilError(t, stopping.command.Process.Signal(syscall.SIGTERM))
 	awaitAnswers()
@@ -267,16 +264,16 @@
 	assert.Assert(t, send(m.processes[1], http.MethodGet, "/prices/1", "after", 0).whole("after"))
 }
 
-// TestServerDrainCutsOffNothing: a server says that it drains; it gets no new
-// work, and what it has in hand is answered whole.
+// TestServerDrainCutsOffNothing checks that a server that reports that it is draining gets no new
+// work, and that its requests in flight are answered whole.
 func TestServerDrainCutsOffNothing(t *testing.T) {
 	m := newMesh(t, 2, 200*time.Millisecond)
-	awaitAnswers := m.callersInHand()
+	awaitAnswers := m.startCallers()
 	draining := m.processes[0]
 	draining.server.SetDraining(true)
 	awaitAnswers()
 	for _, p := range m.processes {
-		m.await("the drain heard at "+p.vm, func() bool {
+		m.await("the drain known at "+p.vm, func() bool {
 			for _, server := range m.state(p).Ingress.Services[0].Servers {
 				if server.Name == "kassa-0" {
 					return server.Leaving
@@ -292,15 +289,16 @@
 	assert.Equal(t, draining.server.Total(), before)
 }
 
-// payment is one once-request with all its attempts.
+// payment is a request of kind once with the results of all its attempts.
 type payment struct {
-	key  string
-	told []told
+	key     string
+	results []result
 }
 
-// pay sends payments, each with numbered retries through other ingresses, while
-// harm is done. Then it compares what callers were told with the runs.
-func (m *mesh) pay(count int, harm func()) {
+// pay sends payments, each with numbered retries through other ingresses, and calls
+// injectFault once half of them are at the servers. Then it compares the callers' results with
+// the executions at the servers.
+func (m *mesh) pay(count int, injectFault func()) {
 	m.t.Helper()
 	payments := make([]payment, count)
 	var group sync.WaitGroup
@@ -308,16 +306,16 @@
 		payments[i].key = fmt.Sprint("payment-", i)
 		group.Go(func() {
 			for attempt := 1; attempt <= 3; attempt++ {
-				t := send(m.processes[(i+attempt)%len(m.processes)], http.MethodPost, "/payments", payments[i].key, attempt)
-				payments[i].told = append(payments[i].told, t)
-				if t.outcome == slatewind.OutcomeAnswer {
+				r := send(m.processes[(i+attempt)%len(m.processes)], http.MethodPost, "/payments", payments[i].key, attempt)
+				payments[i].results = append(payments[i].results, r)
+				if r.outcome == slatewind.OutcomeAnswer {
 					return
 				}
 			}
 		})
 	}
 	m.await("half of the payments at the servers", func() bool { return m.started() >= count/2 })
-	harm()
+	injectFault()
 	group.Wait()
 	m.compare(payments)
 }
@@ -334,25 +332,25 @@
 	for _, p := range payments {
 		assert.Assert(m.t, runs[p.key] <= 1, "%s ran %d times", p.key, runs[p.key])
 		allNotRun := true
-		for _, t := range p.told {
-			allNotRun = allNotRun && t.outcome == slatewind.OutcomeNotRun
-			if t.outcome == slatewind.OutcomeAnswer {
+		for _, r := range p.results {
+			allNotRun = allNotRun && r.outcome == slatewind.OutcomeNotRun
+			if r.outcome == slatewind.OutcomeAnswer {
 				answered++
-				assert.Assert(m.t, t.whole(p.key), "%s got %q", p.key, t.body)
+				assert.Assert(m.t, r.whole(p.key), "%s got %q", p.key, r.body)
 				assert.Equal(m.t, runs[p.key], 1, p.key)
 			}
-			if t.outcome == slatewind.OutcomeNotRun {
-				assert.Assert(m.t, t.header.Get("Retry-After") != "")
+			if r.outcome == slatewind.OutcomeNotRun {
+				assert.Assert(m.t, r.header.Get("Retry-After") != "")
 			}
 		}
-		assert.Assert(m.t, !allNotRun || runs[p.key] == 0, "%s ran although every attempt was told not-run", p.key)
+		assert.Assert(m.t, !allNotRun || runs[p.key] == 0, "%s ran although every attempt got the outcome not-run", p.key)
 	}
 	m.t.Logf("%d of %d payments answered", answered, len(payments))
 	assert.Assert(m.t, answered > 0)
 }
 
-// TestKilledProcessDoublesNothing kills a process without warning while payments
-// run, and starts it again without its memory.
+// TestKilledProcessDoublesNothing kills a process while payments run and starts it again, with
+// empty memory. No payment may run twice.
 func TestKilledProcessDoublesNothing(t *testing.T) {
 	m := newMesh(t, 3, 50*time.Millisecond)
 	m.pay(60, func() {
@@ -363,8 +361,8 @@
 	})
 }
 
-// TestPausedProcessDoublesNothing stops a process for longer than payments wait,
-// and lets it wake with what was in its buffers.
+// TestPausedProcessDoublesNothing pauses a process for longer than the timeout of payments and
+// resumes it with requests in its buffers. No payment may run twice.
 func TestPausedProcessDoublesNothing(t *testing.T) {
 	m := newMesh(t, 3, 50*time.Millisecond)
 	m.pay(60, func() {
@@ -375,17 +373,17 @@
 	})
 }
 
-// TestDroppedAnswersDoubleNothing has a server run payments and close the
-// connection instead of answering.
+// TestDroppedAnswersDoubleNothing has a server run payments and close the connection instead of
+// answering. No payment may run twice.
 func TestDroppedAnswersDoubleNothing(t *testing.T) {
 	m := newMesh(t, 3, 20*time.Millisecond)
 	m.processes[0].server.SetFault(standin.FaultDropAnswer, 1)
 	m.pay(60, func() {})
 }
 
-// TestSettingsInForceEverywhere publishes settings in real processes: good ones
-// come into force, ones with findings do not, and a platform that is down or
-// stale changes nothing.
+// TestSettingsInForceEverywhere checks with real processes that valid settings come into force
+// everywhere, that settings with findings do not, and that a process that starts while the
+// platform is down gets the settings in force from its peers.
 func TestSettingsInForceEverywhere(t *testing.T) {
 	m := newMesh(t, 3, time.Millisecond)
 	inForce := func(revision uint64) func() bool {
@@ -429,8 +427,8 @@
 	return string(body)
 }
 
-// TestBadInput: what callers can send wrong is refused as not run, with its
-// status, and nothing reaches a server.
+// TestBadInput checks that invalid requests are refused with the outcome not-run and the matching
+// status, and that none reaches a server.
 func TestBadInput(t *testing.T) {
 	m := newMesh(t, 1, time.Millisecond)
 	tests := map[string]struct {
@@ -464,7 +462,8 @@
 	assert.Equal(t, m.started(), 0)
 }
 
-// TestFileMissedAfterRestore: a file that a restored store acknowledges comes into force, and the copy's older one does not.
+// TestFileMissedAfterRestore checks that a file that a store acknowledges after it was restored from
+// a backup comes into force, and that the older file of the backup does not.
 func TestFileMissedAfterRestore(t *testing.T) {
 	m := newMesh(t, 3, time.Millisecond)
 	inForce := func(floor int) func() bool {
@@ -477,15 +476,15 @@
 			return true
 		}
 	}
-	taken := m.platform.Copy()
+	backup := m.platform.Copy()
 	for range 5 {
 		m.platform.Publish([]byte(m.settings(1)))
 	}
 	m.platform.Publish([]byte(m.settings(2)))
-	m.await("the file that the store loses", inForce(2))
-	m.platform.Restore(taken)
+	m.await("the file that the restored store lacks", inForce(2))
+	m.platform.Restore(backup)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		assert.Assert(t, inForce(2)(), "the copy's file is in force")
+		assert.Assert(t, inForce(2)(), "the file of the backup is in force")
 	}
 	m.platform.Publish([]byte(m.settings(3)))
 	m.await("the file of the restored store", inForce(3))
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -14,32 +14,27 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// On a checkout service a single price lookup ended each server that began to run it, for three
-// seconds each, and came again and again at all VMs. Breakers and pauses speak of servers, so that
-// each attempt took it to the next one that was well: 16 ended, and 255 of 1,383 card payments of
-// the day, which go to the same servers, were refused or failed. Of the lines for a server's end
-// in another such play,
-//
-//	kind=server-ended ... evidence="end=e0a3a52b digests=9a07fc42"
-//
-// 14 of 14 ends named the same digest, and 19 others were named once each: what the servers had in
-// common was that request.
-//
-// The cause: nobody knew a request again over its attempts. Now the process beside a server that
-// ended tells a digest of what ran there, and all refuse what two servers ended under.
-
-// Bounds that the operators state for such a request.
+// These tests guard against a request that crashes each server that starts to run it and that
+// callers keep sending to all VMs. Breakers and pauses apply to servers, so each attempt would take
+// the request to the next healthy server and other requests of the crashed servers would fail: a
+// single price lookup crashed 16 servers, for three seconds each, and 255 of 1,383 card payments
+// that used the same servers were refused or failed. The process beside a server that crashed
+// therefore publishes the digests of the requests that were running there, and all processes refuse
+// a request during which two servers crashed. The digest common to the crashes identifies the
+// request: of 14 crashes all named one digest, and 19 other digests were named once each.
+
+// Bounds that the operators require for such a request.
 const (
-	// mostDeaths is how many servers may end under it before it has to be known.
-	mostDeaths = 3
-	// knownTime is how long after that it may go on.
-	knownTime = 3 * time.Second
-	// mostLater is how often it may be sent to servers afterwards.
-	mostLater = 3
+	// maxCrashes is how many servers may crash before the request has to be recognised.
+	maxCrashes = 3
+	// recogniseTime is how long after that it may still crash servers without limit.
+	recogniseTime = 3 * time.Second
+	// maxLater is how many servers may crash after that time.
+	maxLater = 3
 )
 
-// deaths returns when servers began to run deadly requests, in order.
-func (f *nodes) deaths() (all []time.Time) {
+// crashes returns the times at which servers crashed, in order.
+func (f *nodes) crashes() (all []time.Time) {
 	for _, crasher := range f.crashers {
 		all = append(all, crasher.Deaths()...)
 	}
@@ -47,50 +42,50 @@
 	return all
 }
 
-// later returns how many of the deaths came later than is allowed.
-func later(deaths []time.Time) (n int) {
-	for _, at := range deaths[min(len(deaths), mostDeaths):] {
-		if at.Sub(deaths[mostDeaths-1]) > knownTime {
+// later returns how many of the crashes came later than recogniseTime after the first maxCrashes.
+func later(crashes []time.Time) (n int) {
+	for _, at := range crashes[min(len(crashes), maxCrashes):] {
+		if at.Sub(crashes[maxCrashes-1]) > recogniseTime {
 			n++
 		}
 	}
 	return n
 }
 
-// TestRequestThatEndsServers: a request under which servers end is kept from them, whichever VM it
-// comes to, and others are served.
+// TestRequestThatEndsServers checks that a request that crashes servers is refused, whichever VM
+// receives it, and that other requests are served.
 func TestRequestThatEndsServers(t *testing.T) {
 	tests := map[string]slatewind.Kind{"look": slatewind.KindRepeatable, "pay": slatewind.KindSingle}
 	for route := range tests {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			f := newNodes(t, 6)
-			for i, began := 0, time.Now(); time.Since(began) < knownTime+3*time.Second; i++ {
+			for i, began := 0, time.Now(); time.Since(began) < recogniseTime+3*time.Second; i++ {
 				f.send(i%len(f.nodes), "/"+route+"/deadly", fmt.Sprint("deadly-", i))
-				f.await("a sound request is answered", func() bool {
+				f.await("another request is answered", func() bool {
 					status := f.send(i%len(f.nodes), "/look/sound", fmt.Sprint("sound-", i))
 					assert.Assert(t, status != http.StatusBadRequest)
 					return status == http.StatusOK
 				})
 			}
-			deaths := f.deaths()
-			assert.Assert(t, len(deaths) > 0)
-			assert.Assert(t, later(deaths) <= mostLater, "%d servers ended, %d of them later than is allowed", len(deaths), later(deaths))
+			crashes := f.crashes()
+			assert.Assert(t, len(crashes) > 0)
+			assert.Assert(t, later(crashes) <= maxLater, "%d servers crashed, %d of them later than is allowed", len(crashes), later(crashes))
 		})
 	}
 }
 
-// TestSpreadBound: all processes of a service that run and can be reached know of a server's end
-// before the request may not come any more, also where a connection between them went silent.
+// TestSpreadBound checks that all processes of a service that run and can be reached know of a
+// crash before the request has to be refused, also if a connection between them delivers nothing.
 func TestSpreadBound(t *testing.T) {
-	assert.Assert(t, maxPublishDelay < knownTime, "%s", maxPublishDelay)
+	assert.Assert(t, maxPublishDelay < recogniseTime, "%s", maxPublishDelay)
 }
 
-// deadlyUntil sends a deadly request to all nodes in turn until so many servers ended, and until
-// all nodes that run refuse it.
-func (f *nodes) deadlyUntil(ends int) {
-	for i := 0; len(f.deaths()) < ends; i++ {
-		assert.Assert(f.t, i < 2000, "%d servers ended", len(f.deaths()))
+// crashUntilRefused sends a request that crashes servers to all nodes in turn until the given number
+// of servers crashed, and then waits until all nodes refuse it.
+func (f *nodes) crashUntilRefused(count int) {
+	for i := 0; len(f.crashes()) < count; i++ {
+		assert.Assert(f.t, i < 2000, "%d servers crashed", len(f.crashes()))
 		f.send(i%len(f.nodes), "/look/deadly", fmt.Sprint("until-", i))
 	}
 	for i := range f.nodes {
@@ -98,17 +93,17 @@
 	}
 }
 
-// awaitRefusal waits until a node refuses the deadly request without sending it.
+// awaitRefusal waits until a node refuses a request that crashes servers, without sending one.
 func (f *nodes) awaitRefusal(i int) {
 	f.t.Helper()
 	began := time.Now()
 	for !f.refuses(i) {
-		assert.Assert(f.t, time.Since(began) < knownTime, "node %d does not know of the request", i)
+		assert.Assert(f.t, time.Since(began) < recogniseTime, "node %d does not know of the request", i)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// refuses reports whether a node knows that the deadly request is refused.
+// refuses reports whether a node refuses a request.
 func (f *nodes) refuses(i int) bool {
 	for _, view := range f.nodes[i].suspects.Views(time.Now()) {
 		if view.Refused {
@@ -118,13 +113,13 @@
 	return false
 }
 
-// TestQuarantineOutlivesWitnesses: processes that begin anew hear of the request from others, also
-// those beside the servers that ended under it.
+// TestQuarantineOutlivesWitnesses checks that processes that restart get the quarantine records from
+// other processes, also those beside the servers that crashed.
 func TestQuarantineOutlivesWitnesses(t *testing.T) {
 	t.Parallel()
 	f := newNodes(t, 5)
-	f.deadlyUntil(2)
-	deaths := len(f.deaths())
+	f.crashUntilRefused(2)
+	crashes := len(f.crashes())
 	for i, crasher := range f.crashers {
 		if len(crasher.Deaths()) == 0 {
 			continue
@@ -133,39 +128,39 @@
 		f.nodes[i] = f.start(i)
 		f.awaitReady(i)
 		f.awaitRefusal(i)
-		// No trial has proved it yet, so that its caller is told to come back.
+		// No trial has confirmed it yet, so the caller is asked to retry later.
 		assert.Equal(t, f.send(i, "/look/deadly", fmt.Sprint("again-", i)), http.StatusServiceUnavailable)
 	}
-	assert.Equal(t, len(f.deaths()), deaths)
+	assert.Equal(t, len(f.crashes()), crashes)
 }
 
-// TestQuarantineEnds: a request that servers no longer end under is served again after a trial, and
-// all hear of that.
+// TestQuarantineEnds checks that a request that no longer crashes servers is served again after a
+// trial, by all nodes.
 func TestQuarantineEnds(t *testing.T) {
 	t.Parallel()
 	f := newNodes(t, 4)
-	f.deadlyUntil(2)
+	f.crashUntilRefused(2)
 	for _, crasher := range f.crashers {
 		crasher.Mend()
 	}
 	began := time.Now()
-	f.await("the request to be answered", func() bool { return f.send(0, "/look/deadly", fmt.Sprint("mended-", time.Now())) == http.StatusOK })
+	f.await("the request is answered", func() bool { return f.send(0, "/look/deadly", fmt.Sprint("mended-", time.Now())) == http.StatusOK })
 	assert.Assert(t, time.Since(began) < 8*time.Second)
 	for i := range f.nodes {
-		f.await("all to send it", func() bool { return f.send(i, "/look/deadly", fmt.Sprint("all-", i, time.Now())) == http.StatusOK })
+		f.await("all nodes send it", func() bool { return f.send(i, "/look/deadly", fmt.Sprint("all-", i, time.Now())) == http.StatusOK })
 	}
 }
 
-// TestQuarantineIsTold: callers are told to come back before the trial, and that the request is bad
-// once servers ended under that too.
-func TestQuarantineIsTold(t *testing.T) {
+// TestQuarantineStatus checks that callers are asked to retry later before the trial, and get 400
+// once the trial has crashed a server too.
+func TestQuarantineStatus(t *testing.T) {
 	tests := map[string]slatewind.Kind{"look": slatewind.KindRepeatable, "pay": slatewind.KindSingle}
 	for route := range tests {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			f := newNodes(t, 4)
 			path := "/" + route + "/deadly"
-			for i := 0; len(f.deaths()) < 2; i++ {
+			for i := 0; len(f.crashes()) < 2; i++ {
 				f.send(i%len(f.nodes), path, fmt.Sprint("first-", i))
 			}
 			f.awaitRefusal(0)
@@ -176,18 +171,18 @@
 			assert.Assert(t, seconds > 1 && seconds <= 5, after)
 			f.await("the trial", func() bool {
 				f.send(0, path, fmt.Sprint("trial-", time.Now()))
-				return len(f.deaths()) == 3
+				return len(f.crashes()) == 3
 			})
-			f.await("the request to be proved bad", func() bool {
+			f.await("the request is confirmed to crash servers", func() bool {
 				return f.send(1, path, fmt.Sprint("bad-", time.Now())) == http.StatusBadRequest
 			})
-			assert.Equal(t, len(f.deaths()), 3)
+			assert.Equal(t, len(f.crashes()), 3)
 		})
 	}
 }
 
-// TestServersThatEndByThemselves: a request that comes often is on two servers as these end for
-// another reason, and is served at once by those that are left.
+// TestServersThatEndByThemselves checks that a frequent request that is running on two servers when
+// they crash for another reason is served at once by the servers that are left.
 func TestServersThatEndByThemselves(t *testing.T) {
 	t.Parallel()
 	f := newNodes(t, 4)
@@ -210,24 +205,24 @@
 		crasher.Crash()
 	}
 	for i := range f.nodes {
-		f.await("all to know of both ends", func() bool { return f.endsKnown(i) >= 2 })
+		f.await("all nodes know of both crashes", func() bool { return f.crashesKnown(i) >= 2 })
 	}
 	for _, server := range f.servers {
 		server.SetMode(standin.StampedOK)
 	}
 	began := time.Now()
 	for i := range f.nodes {
-		f.await("the request to be served", func() bool {
+		f.await("the request is served", func() bool {
 			return f.send(i, "/look/sound", fmt.Sprint("after-", i, time.Now())) == http.StatusOK
 		})
 	}
 	assert.Assert(t, time.Since(began) < 2*time.Second, "%s", time.Since(began))
 }
 
-// endsKnown returns how many ends under the request with the most a node knows of.
-func (f *nodes) endsKnown(i int) (ends int) {
+// crashesKnown returns the largest number of crashes that a node has recorded for one request.
+func (f *nodes) crashesKnown(i int) (count int) {
 	for _, view := range f.nodes[i].suspects.Views(time.Now()) {
-		ends = max(ends, view.Crashes)
+		count = max(count, view.Crashes)
 	}
-	return ends
+	return count
 }
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -29,8 +29,8 @@
 	assert.NilError(f.t, os.WriteFile(f.files[i], text, 0o600))
 }
 
-// TestNodeReloads: a living node takes a changed file with a signal and without one,
-// and a broken file changes nothing.
+// TestNodeReloads checks that a running node applies a changed settings file with and without a
+// signal, and that an invalid file changes nothing.
 func TestNodeReloads(t *testing.T) {
 	f := newNodes(t, 1)
 	n := f.nodes[0]
@@ -47,8 +47,8 @@
 	assert.Equal(t, f.send(0, "/pay/1", "id"), http.StatusOK)
 }
 
-// TestLogLevel: the level of logs follows the file, and is the command line's again once
-// the file names none.
+// TestLogLevel checks that the log level is that of the file, and that of the command line if the
+// file names none.
 func TestLogLevel(t *testing.T) {
 	logger := log.New(io.Discard)
 	logger.SetLevel(log.InfoLevel)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestReloadRepeatsNoSingleRequest: whatever bounds a file states, a single request
-// whose answer is lost runs once, and its caller is not told that it did not run.
+// TestReloadRepeatsNoSingleRequest checks that, whatever bounds a file states, a request of kind
+// single whose answer is lost runs once and is not reported as not run.
 func TestReloadRepeatsNoSingleRequest(t *testing.T) {
 	f := newNodes(t, 3)
 	for i := range f.nodes {
@@ -91,17 +91,17 @@
 	}
 }
 
-// TestReloadDuringStop: changes in quick succession while a node stops neither hold it
-// up nor change how long it takes.
+// TestReloadDuringStop checks that settings changes in quick succession during a stop neither
+// delay it nor change its grace period.
 func TestReloadDuringStop(t *testing.T) {
 	const grace = 4 * time.Second
 	f := newNodes(t, 2)
 	f.servers[0].SetMode(standin.StampedHang)
 	f.servers[1].SetMode(standin.StampedHang)
 	f.write(0, func(p *slatewindv1.Process) { p.Bounds.Grace = durationpb.New(grace) })
-	f.await("the grace time", func() bool { return f.nodes[0].grace() == grace })
+	f.await("the grace period", func() bool { return f.nodes[0].grace() == grace })
 	go f.send(0, "/pay/1", "id")
-	f.await("the request to come", func() bool { return f.nodes[0].outbound.InFlight() == 1 })
+	f.await("the request is in flight", func() bool { return f.nodes[0].outbound.InFlight() == 1 })
 	began := time.Now()
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.nodes[0].Stop(context.Background()) }()
--- a/daemon/report_test.go
+++ b/daemon/report_test.go
@@ -11,18 +11,18 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// believes reports what a node believes of a server.
-func (f *nodes) believes(i int, server string) (sick bool) {
+// considersUnhealthy reports whether a node considers a server unhealthy.
+func (f *nodes) considersUnhealthy(i int, server string) (unhealthy bool) {
 	for _, service := range f.nodes[i].outbound.View(time.Now()).Services {
 		for _, view := range service.Servers {
-			sick = sick || view.Name == server && view.Sick
+			unhealthy = unhealthy || view.Name == server && view.Sick
 		}
 	}
-	return sick
+	return unhealthy
 }
 
-// TestSickServerIsHeardOf: all nodes know of a sick server without asking it, and that it
-// is well again.
+// TestSickServerIsHeardOf checks that all nodes learn that a server is unhealthy without sending it
+// a request, and that it has recovered.
 func TestSickServerIsHeardOf(t *testing.T) {
 	f := newNodes(t, 4)
 	f.servers[0].SetMode(standin.StampedReset)
@@ -31,19 +31,19 @@
 		f.send(0, "/look/x", fmt.Sprint("first-", i))
 	}
 	for i := range f.nodes {
-		f.await(fmt.Sprint("node ", i, " knows of the sick server"), func() bool { return f.believes(i, "s-0") })
+		f.await(fmt.Sprint("node ", i, " knows of the unhealthy server"), func() bool { return f.considersUnhealthy(i, "s-0") })
 	}
 	for _, node := range f.nodes[1:] {
 		assert.Equal(t, node.outbound.InFlight(), 0)
 	}
 	f.servers[0].SetMode(standin.StampedOK)
-	// Two trials close it, and a trial comes after a second at most.
-	well := time.Now()
+	// Two trials close the breaker, and the time between trials is at most a second.
+	recovered := time.Now()
 	for i := 0; f.nodes[0].inbound.View().Breaker != breaker.StateClosed; i++ {
-		assert.Assert(t, time.Since(well) < 3*time.Second, "the breaker stays open")
+		assert.Assert(t, time.Since(recovered) < 3*time.Second, "the breaker stays open")
 		f.send(0, "/look/x", fmt.Sprint("second-", i))
 	}
 	for i := range f.nodes {
-		f.await(fmt.Sprint("node ", i, " knows that it is well"), func() bool { return !f.believes(i, "s-0") })
+		f.await(fmt.Sprint("node ", i, " knows that it has recovered"), func() bool { return !f.considersUnhealthy(i, "s-0") })
 	}
 }
--- a/daemon/restored_test.go
+++ b/daemon/restored_test.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// contactTime is how long after trouble in the store no time bound holds.
-	contactTime = 3 * time.Second
-	// changeTime is the least time, of all deployments, in which a change must be known
-	// everywhere.
-	changeTime = 2 * time.Second
-	// lostChanges is how many changes a restored store lacks.
+	// settleTime is how long after a failure of the store the time bounds do not apply.
+	settleTime = 3 * time.Second
+	// propagationTime is the shortest time, over all deployments, within which a change must be
+	// known everywhere.
+	propagationTime = 2 * time.Second
+	// lostChanges is the number of changes that the restored store lacks.
 	lostChanges = 20
 )
 
-// restore has the store lose its newest changes, all of which every node has heard of.
+// restore restores the store from a backup that lacks the newest changes, after every node has seen
+// all of them.
 func (f *nodes) restore() {
 	f.t.Helper()
-	taken := f.store.Copy()
+	backup := f.store.Copy()
 	for i := range lostChanges {
 		f.enter(i%len(f.servers), false)
 	}
 	f.publish(f.nodes[0].store.Version().Revision + 1)
-	f.awaitHeard(f.store.Revision().Number)
+	f.awaitRevision(f.store.Revision().Number)
 	f.awaitVersion(f.nodes[0].store.Version().Revision)
-	f.store.Restore(taken)
-	time.Sleep(contactTime)
+	f.store.Restore(backup)
+	time.Sleep(settleTime)
 }
 
-// behind returns the nodes that have older settings in force than a version.
+// behind returns the nodes whose settings in force are older than a version.
 func (f *nodes) behind(version uint64) (list []int) {
 	for i, n := range f.nodes {
 		if n.store.Version().Revision < version {
@@ -46,23 +47,25 @@
 	return list
 }
 
-// TestSettingsMissedAfterRestore: settings that a restored store acknowledges are in force in time.
+// TestSettingsMissedAfterRestore checks that settings that a restored store acknowledges are in force
+// everywhere in time.
 func TestSettingsMissedAfterRestore(t *testing.T) {
 	f := newNodes(t, 4)
 	f.restore()
 	version := f.nodes[0].store.Version().Revision + 1
 	f.publish(version)
-	time.Sleep(changeTime)
+	time.Sleep(propagationTime)
 	assert.Equal(t, len(f.behind(version)), 0, "%v have older settings", f.behind(version))
 }
 
-// TestLeavingMissedAfterRestore: a server that tells a restored store that it leaves gets no requests.
+// TestLeavingMissedAfterRestore checks that a server that writes to a restored store that it is
+// leaving gets no requests.
 func TestLeavingMissedAfterRestore(t *testing.T) {
 	f := newNodes(t, 4)
 	f.restore()
 	leaving := f.follower()
 	f.enter(leaving, true)
-	time.Sleep(changeTime)
+	time.Sleep(propagationTime)
 	assert.Equal(t, len(f.using(leaving)), 0, "%v would send requests there", f.using(leaving))
 	assert.Assert(t, f.nodes[leaving].inbound.View().Leaving != "")
 }
@@ -86,20 +89,21 @@
 	return slices.IndexFunc(f.nodes, func(n *Node) bool { return !n.source.IsReader() })
 }
 
-// TestLeavingForgottenByRestore: a server that said that it leaves gets no requests though the copy has it as staying.
+// TestLeavingForgottenByRestore checks that a leaving server gets no requests although the backup has
+// an entry from before it was leaving.
 func TestLeavingForgottenByRestore(t *testing.T) {
 	f := newNodes(t, 4)
-	taken := f.store.Copy()
+	backup := f.store.Copy()
 	f.enter(0, true)
-	f.awaitHeard(f.store.Revision().Number)
-	f.store.Restore(taken)
-	f.throughout(contactTime, func() {
+	f.awaitRevision(f.store.Revision().Number)
+	f.store.Restore(backup)
+	f.throughout(settleTime, func() {
 		assert.Equal(t, len(f.using(0)), 0, "%v would send requests there", f.using(0))
 		assert.Assert(t, f.nodes[0].inbound.View().Leaving != "")
 	})
 }
 
-// throughout checks again and again for a while.
+// throughout repeats a check for the given time.
 func (f *nodes) throughout(length time.Duration, check func()) {
 	const pause = 25 * time.Millisecond
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(pause) {
@@ -107,56 +111,59 @@
 	}
 }
 
-// TestServerLostByRestore: a server that started after the copy was taken gets requests until it writes again.
+// TestServerLostByRestore checks that a server that started after the backup was taken keeps getting
+// requests until it writes its entry again.
 func TestServerLostByRestore(t *testing.T) {
 	f := newNodes(t, 3)
 	f.store.Delete(platform.ServersPrefix + "s-0")
-	f.awaitHeard(f.store.Revision().Number)
-	taken := f.store.Copy()
+	f.awaitRevision(f.store.Revision().Number)
+	backup := f.store.Copy()
 	for range lostChanges {
 		f.enter(0, false)
 	}
-	f.awaitHeard(f.store.Revision().Number)
-	f.store.Restore(taken)
+	f.awaitRevision(f.store.Revision().Number)
+	f.store.Restore(backup)
 	time.AfterFunc(writeAgainTime, func() { f.enter(0, false) })
-	f.throughout(contactTime, func() { assert.Equal(t, len(f.using(0)), len(f.nodes), "%v use it", f.using(0)) })
+	f.throughout(settleTime, func() { assert.Equal(t, len(f.using(0)), len(f.nodes), "%v use it", f.using(0)) })
 }
 
-// writeAgainTime is how long after a store's return a server writes its entry again.
+// writeAgainTime is how long after the restore a server writes its entry again.
 const writeAgainTime = 1200 * time.Millisecond
 
-// TestRemovedServerBroughtBackByRestore: a server that was removed gets no requests though the copy has it.
+// TestRemovedServerBroughtBackByRestore checks that a removed server gets no requests although the
+// backup has its entry.
 func TestRemovedServerBroughtBackByRestore(t *testing.T) {
 	f := newNodes(t, 3)
-	taken := f.store.Copy()
+	backup := f.store.Copy()
 	f.store.Delete(platform.ServersPrefix + "s-0")
-	f.awaitHeard(f.store.Revision().Number)
-	f.store.Restore(taken)
-	f.throughout(contactTime, func() { assert.Equal(t, len(f.using(0)), 0, "%v would send requests there", f.using(0)) })
+	f.awaitRevision(f.store.Revision().Number)
+	f.store.Restore(backup)
+	f.throughout(settleTime, func() { assert.Equal(t, len(f.using(0)), 0, "%v would send requests there", f.using(0)) })
 }
 
-// TestOlderSettingsOfCopy: a copy's older settings are not put in force.
+// TestOlderSettingsOfCopy checks that the older settings of the backup do not come into force.
 func TestOlderSettingsOfCopy(t *testing.T) {
 	f := newNodes(t, 3)
-	taken := f.store.Copy()
+	backup := f.store.Copy()
 	f.publish(5)
 	f.awaitVersion(5)
-	f.store.Restore(taken)
-	time.Sleep(contactTime)
+	f.store.Restore(backup)
+	time.Sleep(settleTime)
 	f.awaitVersion(5)
 }
 
-// TestReaderStartsWithSettingsOfCopy: a process that starts, and reads the store for others, has the newest settings though the copy has older ones.
+// TestReaderStartsWithSettingsOfCopy checks that a process that starts as a reader of the store for
+// others gets the newest settings although the backup has older ones.
 func TestReaderStartsWithSettingsOfCopy(t *testing.T) {
 	f := newNodes(t, 3)
-	taken := f.store.Copy()
+	backup := f.store.Copy()
 	f.publish(5)
 	f.awaitVersion(5)
 	reader := f.reader()
 	f.end(f.nodes[reader])
-	f.store.Restore(taken)
+	f.store.Restore(backup)
 	f.nodes[reader] = f.start(reader)
-	time.Sleep(contactTime)
+	time.Sleep(settleTime)
 	assert.Equal(t, len(f.behind(5)), 0, "%v have older settings", f.behind(5))
 }
 
--- a/daemon/signals_test.go
+++ b/daemon/signals_test.go
@@ -8,11 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHangUpDuringStop: a process that is told again and again to read its settings anew
-// ends in order when it is told to stop.
-//
-// Signals were heard from the opening of the listeners until the last steps of a stop. A
-// SIGHUP before or after ended the process, as the system does by default.
+// TestHangUpDuringStop checks that a process that keeps getting SIGHUP, the signal to reload its
+// settings, stops in order on SIGTERM. While no handler is registered, before the listeners are
+// open and in the last steps of a stop, SIGHUP would terminate the process by default.
 func TestHangUpDuringStop(t *testing.T) {
 	m := newMesh(t, 2, time.Millisecond)
 	stopping := m.processes[0].command
--- a/daemon/stopping_test.go
+++ b/daemon/stopping_test.go
@@ -14,17 +14,17 @@
 	"slatewind.example/slatewind/internal/standin"
 )
 
-// pressGap is the time between two requests of callers who do not heed that a node is
-// unready, as many do while most nodes of a data centre stop.
-const pressGap = 40 * time.Millisecond
+// sendInterval is the time between two requests of callers that keep sending to a node although
+// it is unready, as many do while most nodes of a data centre stop.
+const sendInterval = 40 * time.Millisecond
 
-// press sends a request to a node at each pressGap until over is closed, and returns the
-// status of each by its id; 0 is a connection that ended without an answer.
-func (f *nodes) press(to int, path, prefix string, over <-chan struct{}) map[string]int {
+// keepSending sends a request to a node every sendInterval until over is closed, and returns the
+// status of each by its id; 0 stands for a connection that ended without an answer.
+func (f *nodes) keepSending(to int, path, prefix string, over <-chan struct{}) map[string]int {
 	statuses := map[string]int{}
 	var mu sync.Mutex
 	var sent sync.WaitGroup
-	ticks := time.NewTicker(pressGap)
+	ticks := time.NewTicker(sendInterval)
 	defer ticks.Stop()
 	for i := 0; ; i++ {
 		id := fmt.Sprint(prefix, i)
@@ -43,21 +43,19 @@
 	}
 }
 
-// TestStopGivesUpNothingThatItTook: callers press a node to the very end of its stop. What
-// its servers work on is answered by them, and all else is refused and never runs.
-//
-// A stopping process took what came on open connections until it ended its wait for work
-// in hand, however little time was left. It sent on two requests 5.36 and 5.87 s after its
-// SIGTERM; their connections were closed at 6.00 s, the end of the grace time, while a
-// server that needed 0.85 s worked on one of them. Stops of later code answered such
-// requests with 502 after 0.86 of the grace time.
+// TestStopGivesUpNothingThatItTook has callers send to a node until the end of its stop, and checks
+// that all requests that reach a server are answered by it, and that all others are refused and
+// never run. It guards against a stopping process that admits requests on open connections however
+// little time is left: a request that was forwarded 5.36 s into a grace period of 6 s, to a server
+// that needs 0.85 s, was cut off, or answered with 502 after 0.86 of the grace period, while the
+// server still worked on it.
 func TestStopGivesUpNothingThatItTook(t *testing.T) {
 	const grace = 4 * time.Second
 	tests := map[string]struct {
 		path  string
 		works time.Duration
-		// atMost is how long the stop may last: it closes after 1.6 s, and callers who go on
-		// coming do not hold it.
+		// atMost is how long the stop may take. Admission ends after 1.6 s, and requests that
+		// arrive later do not delay the exit.
 		atMost time.Duration
 	}{
 		"single requests":             {"/pay/1", 900 * time.Millisecond, grace * 95 / 100},
@@ -74,8 +72,8 @@
 			f.nodes[0].settings.Bounds.Grace = durationpb.New(grace)
 			over := make(chan struct{})
 			pressed := make(chan map[string]int, 1)
-			go func() { pressed <- f.press(0, test.path, "id-", over) }()
-			f.await("requests to be served", func() bool { return f.servers[1].Arrivals() > 0 })
+			go func() { pressed <- f.keepSending(0, test.path, "id-", over) }()
+			f.await("requests are served", func() bool { return f.servers[1].Arrivals() > 0 })
 			began := time.Now()
 			assert.NilError(t, f.nodes[0].Stop(context.Background()))
 			took := time.Since(began)
@@ -94,25 +92,22 @@
 	}
 }
 
-// TestServerWorksWhileItsProcessStops: the server beside a stopping process gets requests
-// until shortly before the process ends, since it is well and others need its slots.
-//
-// In a series of stops four of 13 sound servers of a service got nothing for 2 s, and a
-// fifth of its requests was not served. Each process refused all reservations from its
-// SIGTERM on, was there for 2.21 to 3.27 s more, and its successor had started 0.57 s
-// later. Servers got nothing in each whole second between SIGTERM and start, and requests
-// in the very second of the start: so it is not callers that come back late.
+// TestServerWorksWhileItsProcessStops checks that the server beside a stopping process gets requests
+// until shortly before the process exits, since it is healthy and others need its slots. It guards
+// against a process that refuses all reservations from its SIGTERM on: it runs for another 2.21 to
+// 3.27 s, and its successor starts 0.57 s later. In a series of stops, 4 of 13 healthy servers of a
+// service thus got no requests for 2 s, and a fifth of the service's requests was not served.
 func TestServerWorksWhileItsProcessStops(t *testing.T) {
 	const (
 		grace = 6 * time.Second
-		// mostGap is how long the server may get nothing: 2 s by the operators' rule, less
+		// maxGap is how long the server may get no requests: 2 s by the operators' rule, less
 		// the time in which the next process starts.
-		mostGap = 1400 * time.Millisecond
+		maxGap = 1400 * time.Millisecond
 	)
 	tests := map[string]struct {
-		// held has a caller at the stopping node whose request takes to the end.
+		// held reports that a caller of the stopping node has a request that takes until its end.
 		held bool
-		// atMost is how long the stop may last.
+		// atMost is how long the stop may take.
 		atMost time.Duration
 	}{
 		"nothing holds the process": {false, 2800 * time.Millisecond},
@@ -129,13 +124,13 @@
 				go func() { f.hold(1, 0) }()
 				f.await("the server to hang", func() bool { return f.nodes[0].inbound.InUse() > 0 })
 			}
-			// Only the server beside the stopping node is left.
+			// Now the server beside the stopping node is the only one in use.
 			f.enter(0, true)
-			f.await("the drain to be heard", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
+			f.await("the drain is known", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
 			over := make(chan struct{})
 			pressed := make(chan map[string]int, 1)
 			began := time.Now()
-			go func() { pressed <- f.press(0, "/pay/1", "id-", over) }()
+			go func() { pressed <- f.keepSending(0, "/pay/1", "id-", over) }()
 			gaps := make(chan time.Duration, 1)
 			go func() { gaps <- f.longestGap(1, over) }()
 			assert.NilError(t, f.nodes[1].Stop(context.Background()))
@@ -143,21 +138,21 @@
 			close(over)
 			gap := <-gaps
 			<-pressed
-			assert.Assert(t, gap < mostGap, "the server got nothing for %s", gap)
+			assert.Assert(t, gap < maxGap, "the server got nothing for %s", gap)
 			assert.Assert(t, took < test.atMost, "the stop took %s", took)
 		})
 	}
 }
 
-// hold keeps sending repeatable requests to a node until one hangs at a server.
+// hold keeps sending requests to a node until one hangs at a server.
 func (f *nodes) hold(to, server int) {
 	for i := 0; f.nodes[server].inbound.InUse() == 0; i++ {
 		go f.send(to, "/pay/1", fmt.Sprint("held-", i))
-		time.Sleep(pressGap)
+		time.Sleep(sendInterval)
 	}
 }
 
-// longestGap returns for how long a server got no request until over is closed.
+// longestGap returns the longest time without a request to a server until over is closed.
 func (f *nodes) longestGap(server int, over <-chan struct{}) time.Duration {
 	longest, last, arrivals := time.Duration(0), time.Now(), 0
 	for {
@@ -173,24 +168,23 @@
 	}
 }
 
-// TestStopWaitsForWorkOfOthers: a stopping process whose own callers have their answers waits
-// on for what its server runs for other processes, as long as its grace time lets it.
-//
-// A request that began at one process ran at a server beside another, which was stopping too
-// and whose process ended first, 5.16 s after its SIGTERM: its caller got 502 at once, while
-// the server worked, and long before the time was over that its own process had.
+// TestStopWaitsForWorkOfOthers checks that a stopping process whose own callers have their answers
+// waits, within its grace period, for the requests that its server runs for other processes. It
+// guards against a caller that gets 502 while the server works on its request, because the process
+// beside the server exits before the process that the caller is connected to.
 func TestStopWaitsForWorkOfOthers(t *testing.T) {
 	t.Parallel()
 	const grace = 8 * time.Second
 	f := newNodes(t, 2)
 	f.nodes[1].settings.Bounds.Grace = durationpb.New(grace)
 	f.enter(0, true)
-	f.await("the drain to be heard", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
-	// It ends between the answers to those who wait and the end of the process.
+	f.await("the drain is known", func() bool { return f.nodes[0].inbound.View().Leaving != "" })
+	// The request ends after the node has given its waiting callers a final reply and before the
+	// end of the schedule.
 	f.servers[1].SetDelay(grace * 89 / 100)
 	status := make(chan int, 1)
 	go func() { status <- f.send(0, "/pay/1", "long") }()
-	f.await("the server to work", func() bool { return f.servers[1].Arrivals() > 0 })
+	f.await("the server has the request", func() bool { return f.servers[1].Arrivals() > 0 })
 	began := time.Now()
 	assert.NilError(t, f.nodes[1].Stop(context.Background()))
 	assert.Assert(t, time.Since(began) < grace*95/100)
--- a/daemon/throttle_test.go
+++ b/daemon/throttle_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestThrottle: however many events come, a few in each interval are told of, and the next
-// one that is says how many were not.
+// TestThrottle checks that at most limit events per interval are allowed, and that the next allowed
+// event returns how many were left out before it.
 func TestThrottle(t *testing.T) {
 	start := time.Unix(1000, 0)
 	th := &throttle{interval: time.Second, limit: 2}
--- a/daemon/workspaces_test.go
+++ b/daemon/workspaces_test.go
@@ -18,17 +18,18 @@
 	"slatewind.example/slatewind/ratelimit"
 )
 
-// Keys of the workspaces in these tests. None of them may be seen anywhere.
+// Keys of the workspaces in these tests. None of them may appear in any output. secretPrefix is the
+// prefix of all of them.
 const (
-	sellersKey  = "secret-sellers-1"
-	rotatedKey  = "secret-sellers-2"
-	buyersKey   = "secret-buyers-1"
-	unknownKey  = "secret-nobody-1"
-	secretWords = "secret-"
+	sellersKey   = "secret-sellers-1"
+	rotatedKey   = "secret-sellers-2"
+	buyersKey    = "secret-buyers-1"
+	unknownKey   = "secret-nobody-1"
+	secretPrefix = "secret-"
 )
 
-// publishKeys publishes settings whose workspaces have the given keys. The route "look" is
-// public.
+// publishKeys publishes settings whose workspaces have the given keys, by name of workspace. The
+// route "look" is public.
 func (f *nodes) publishKeys(version uint64, keys map[string][]string, workspaces ...*slatewindv1.Workspace) {
 	public := nodeRoute("look", slatewind.KindRepeatable)
 	public.Public = true
@@ -53,7 +54,8 @@
 	})
 }
 
-// sendWith sends a request with header fields to a node and returns status and answer.
+// sendWith sends a request with header fields to a node and returns the status, the body and the
+// Retry-After field of the answer.
 func (f *nodes) sendWith(i int, path, id string, header http.Header) (status int, answer string, retryAfter string) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+f.address(i, 8000)+path, bytes.NewReader([]byte("b")))
 	assert.NilError(f.t, err)
@@ -72,12 +74,12 @@
 	return response.StatusCode, string(text), response.Header.Get("Retry-After")
 }
 
-// withKey returns the header fields of a caller that has a key.
+// withKey returns the header fields of a caller with a key.
 func withKey(key string) http.Header {
 	return http.Header{platform.Callers().Key: {key}}
 }
 
-// received returns the header fields with which a request came to a server, or nil.
+// received returns the header fields that a server received with a request, or nil if none did.
 func (f *nodes) received(id string) http.Header {
 	for _, server := range f.servers {
 		if h := server.Headers(id); h != nil {
@@ -94,8 +96,8 @@
 
 var twoKeys = map[string][]string{"sellers": {sellersKey}, "buyers": {buyersKey}}
 
-// TestWorkspaceIsTold: servers get the name of the workspace that the key belongs to, and
-// neither the key nor a name that the caller states, at whichever node the request begins.
+// TestWorkspaceIsTold checks that servers get the name of the workspace that the key belongs to, and
+// neither the key nor a name that the caller states, whichever node receives the request.
 func TestWorkspaceIsTold(t *testing.T) {
 	f := newNodes(t, 2)
 	f.publishKeys(2, twoKeys, twoWorkspaces()...)
@@ -131,7 +133,7 @@
 				id := fmt.Sprintf("%s-%d", strings.ReplaceAll(name, " ", "-"), i)
 				status, answer, _ := f.sendWith(i, test.path, id, test.header)
 				assert.Equal(t, status, test.status, answer)
-				assert.Assert(t, !strings.Contains(answer, secretWords), "a key is in the answer")
+				assert.Assert(t, !strings.Contains(answer, secretPrefix), "a key is in the answer")
 				got := f.received(id)
 				assert.Equal(t, got != nil, test.status == http.StatusOK)
 				assert.Equal(t, len(got.Values(dialect.Key)), 0, "the server got a key")
@@ -146,11 +148,12 @@
 	f.assertNoKeys()
 }
 
-// assertNoKeys fails the test if a key can be seen in what a node tells of itself.
+// assertNoKeys fails the test if a key appears in the settings, the journal or a page of the admin
+// address of a node.
 func (f *nodes) assertNoKeys() {
 	f.t.Helper()
 	for i, n := range f.nodes {
-		told := fmt.Sprintf("%+v %+v", n.store.Current().Fleet, n.history.Find(history.Filter{}))
+		output := fmt.Sprintf("%+v %+v", n.store.Current().Fleet, n.history.Find(history.Filter{}))
 		for _, path := range []string{"/state", "/settings", "/metrics", "/journal"} {
 			response, err := http.Get("http://" + f.address(i, 8002) + path)
 			assert.NilError(f.t, err)
@@ -158,15 +161,15 @@
 			assert.NilError(f.t, err)
 			_ = response.Body.Close()
 			assert.Equal(f.t, response.StatusCode, http.StatusOK, path)
-			told += string(text)
+			output += string(text)
 		}
-		assert.Assert(f.t, len(told) > 0)
-		assert.Assert(f.t, !strings.Contains(told, secretWords), "node %d tells a key", i)
+		assert.Assert(f.t, len(output) > 0)
+		assert.Assert(f.t, !strings.Contains(output, secretPrefix), "node %d exposes a key", i)
 	}
 }
 
-// TestKeyIsRotated: a key is replaced without a refused request, by settings with both keys in
-// between, and the old key is refused by every node once the settings without it are in force.
+// TestKeyIsRotated checks that a key can be replaced without a refused request, by way of settings
+// with both keys, and that all nodes refuse the old key once the settings without it are in force.
 func TestKeyIsRotated(t *testing.T) {
 	f := newNodes(t, 3)
 	keys := func(own ...string) map[string][]string {
@@ -200,9 +203,9 @@
 	f.assertNoKeys()
 }
 
-// TestLimitOfWorkspace: nodes keep one limit together; what is refused says when to come back,
-// reached no server, and is explained. A lower limit binds once it is in force, and other
-// workspaces are not touched.
+// TestLimitOfWorkspace checks that all nodes together enforce one limit, that refused requests have
+// a Retry-After field, reach no server and are in the journal, that a lower limit applies once it is
+// in force, and that other workspaces are not limited.
 func TestLimitOfWorkspace(t *testing.T) {
 	f := newNodes(t, 3)
 	f.publishKeys(2, twoKeys, &slatewindv1.Workspace{Name: "sellers", Rate: 20, Burst: 20}, &slatewindv1.Workspace{Name: "buyers"})
@@ -247,7 +250,7 @@
 			}
 		}
 	}
-	assert.Assert(t, uses > 0, "some node tells of the limit")
-	assert.Assert(t, refusals > 0, "a refusal is explained")
+	assert.Assert(t, uses > 0, "some node shows the use of the limit")
+	assert.Assert(t, refusals > 0, "a refusal is in the journal")
 	f.assertNoKeys()
 }
