--- a/ratelimit/explore_test.go
+++ b/ratelimit/explore_test.go
@@ -45,12 +45,12 @@
 type explored struct {
 	tick       int
 	allocators [2]*Allocator
-	// home is the allocator that ranks first; asker and views are the home as known to the consumer
+	// home is the allocator that ranks first; consumerHome and allocatorHomes are the home as known to the consumer
 	// and to the allocators.
-	home, asker int
-	views       [2]int
-	consumer    Consumer
-	messages    []message
+	home, consumerHome int
+	allocatorHomes     [2]int
+	consumer           Consumer
+	messages           []message
 	// attempt is the number of the open token request, 0 if there is none; second means that it was
 	// sent to the second allocator.
 	attempt, last int
@@ -84,7 +84,7 @@
 
 // key distinguishes states that may continue differently.
 func (out safeguards) key(s *explored) string {
-	text := fmt.Sprintf("%d %d %d %v %t %t %d %d %d %d|", s.tick, s.home, s.asker, s.views, s.attempt > 0, s.second, s.sent, s.allowed, s.faults, s.restarts)
+	text := fmt.Sprintf("%d %d %d %v %t %t %d %d %d %d|", s.tick, s.home, s.consumerHome, s.allocatorHomes, s.attempt > 0, s.second, s.sent, s.allowed, s.faults, s.restarts)
 	for _, m := range s.messages {
 		if m.isReply && m.attempt != s.attempt && !out.lateReplies {
 			continue
@@ -167,17 +167,17 @@
 			step("the home moves", c)
 		}
 	}
-	if s.asker != s.home {
+	if s.consumerHome != s.home {
 		c := s.clone()
-		c.asker = c.home
+		c.consumerHome = c.home
 		step("the consumer learns of the move", c)
 	}
-	for i := range s.views {
-		if s.views[i] == s.home {
+	for i := range s.allocatorHomes {
+		if s.allocatorHomes[i] == s.home {
 			continue
 		}
 		c := s.clone()
-		c.views[i] = c.home
+		c.allocatorHomes[i] = c.home
 		c.allocators[i].HostsChanged(c.now(), func(string) Role { return c.roleOf(i) })
 		step(fmt.Sprint("an allocator learns of the move: ", i), c)
 	}
@@ -185,7 +185,7 @@
 
 // roleOf returns the role of an allocator, given the hosts it knows.
 func (s *explored) roleOf(allocator int) Role {
-	if s.views[allocator] == allocator {
+	if s.allocatorHomes[allocator] == allocator {
 		return RoleHome
 	}
 	return RoleStandIn
@@ -198,7 +198,7 @@
 	case StepAllow:
 		s.allowed++
 	case StepAsk:
-		s.ask(s.asker, RoleHome, false)
+		s.ask(s.consumerHome, RoleHome, false)
 	}
 }
 
@@ -214,7 +214,7 @@
 // timeOut abandons the open token request, as Limiter.ask does.
 func (s *explored) timeOut() {
 	if !s.second {
-		s.ask(1-s.asker, RoleStandIn, true)
+		s.ask(1-s.consumerHome, RoleStandIn, true)
 		return
 	}
 	s.attempt = 0
@@ -291,9 +291,9 @@
 func TestLimitInAllOrdersWithoutSafeguard(t *testing.T) {
 	t.Parallel()
 	tests := map[string]safeguards{
-		"late answers are taken":               {lateReplies: true},
-		"a process that begins has all tokens": {fullStart: true},
-		"the second gives as the home does":    {fullShare: true},
+		"late replies are accepted":             {lateReplies: true},
+		"a process starts with a full bucket":   {fullStart: true},
+		"the second grants as much as the home": {fullShare: true},
 	}
 	for name, out := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -240,10 +240,10 @@
 		kills = append(kills, fault{at: at, lasts: 300 * time.Millisecond, homeOf: "w0", what: faultKill})
 	}
 	tests := map[safeguard][]fault{
-		withoutStart:   kills,
-		withoutPause:   kills,
-		withoutStandIn: {{at: 6 * time.Second, lasts: 6 * time.Second, homeOf: "w0", share: 0.5, what: faultCut}},
-		withoutAlone:   {{at: 7 * time.Second, lasts: 4 * time.Second, share: 0.4, what: faultCut}},
+		withoutInitialShare:   kills,
+		withoutSuccessorReset: kills,
+		withoutStandInShare:   {{at: 6 * time.Second, lasts: 6 * time.Second, homeOf: "w0", share: 0.5, what: faultCut}},
+		withoutIsolatedShare:  {{at: 7 * time.Second, lasts: 4 * time.Second, share: 0.4, what: faultCut}},
 	}
 	for out, faults := range tests {
 		t.Run(string(out), func(t *testing.T) {
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -20,14 +20,14 @@
 // Safeguards.
 const (
 	withAll safeguard = ""
-	// withoutStart: homes start with a full bucket.
-	withoutStart safeguard = "a home begins with a part of the burst"
-	// withoutStandIn: the process that ranks second always grants the full limit.
-	withoutStandIn safeguard = "a stand-in gives a part"
-	// withoutPause: successors keep the tokens that accrued while nobody asked them.
-	withoutPause safeguard = "a successor begins anew"
-	// withoutAlone: all requests are allowed if no process replies.
-	withoutAlone safeguard = "who reaches nobody spends a part of what it had"
+	// withoutInitialShare: homes start with a full bucket.
+	withoutInitialShare safeguard = "a home starts with a share of the burst"
+	// withoutStandInShare: the process that ranks second always grants the full limit.
+	withoutStandInShare safeguard = "a stand-in grants a share"
+	// withoutSuccessorReset: successors keep the tokens that accrued while nobody asked them.
+	withoutSuccessorReset safeguard = "a successor starts with one token"
+	// withoutIsolatedShare: all requests are allowed if no process replies.
+	withoutIsolatedShare safeguard = "an isolated process spends a share of its rate"
 )
 
 // tokensWithout returns the tokens strategy without a safeguard.
@@ -89,7 +89,7 @@
 	p := t.processes[process]
 	p.update(hosts)
 	now := t.m.clock()
-	if t.without == withoutStart {
+	if t.without == withoutInitialShare {
 		now = now.Add(-time.Hour)
 	}
 	p.allocator.HostsChanged(now, func(workspace string) ratelimit.Role { return p.role(hostOf(process), workspace) })
@@ -137,7 +137,7 @@
 			return
 		}
 		q.Role, q.Tokens = ratelimit.RoleStandIn, 1
-		if proved || t.without == withoutStandIn {
+		if proved || t.without == withoutStandInShare {
 			q.Role = ratelimit.RoleSuccessor
 		}
 		t.ask(process, processAt(second), q, func(answer ratelimit.TokenReply, answered, _ bool) {
@@ -145,7 +145,7 @@
 				done(s.Answered(t.m.clock(), answer) == ratelimit.StepAllow)
 				return
 			}
-			done(s.Unanswered(t.m.clock()) == ratelimit.StepAllow || t.without == withoutAlone)
+			done(s.Unanswered(t.m.clock()) == ratelimit.StepAllow || t.without == withoutIsolatedShare)
 		})
 	})
 }
@@ -194,7 +194,7 @@
 // grant replies as Limiter.Grant does.
 func (t *tokens) grant(process int, q ratelimit.TokenRequest) ratelimit.TokenReply {
 	p := t.processes[process]
-	if t.without == withoutPause && q.Role == ratelimit.RoleSuccessor {
+	if t.without == withoutSuccessorReset && q.Role == ratelimit.RoleSuccessor {
 		q.Role = ratelimit.RoleHome
 		return p.allocator.Take(t.m.clock(), q)
 	}
--- a/ratelimit/suspended_test.go
+++ b/ratelimit/suspended_test.go
@@ -34,7 +34,7 @@
 	for range 3 {
 		assert.Assert(t, l.Admit(t.Context(), limit).Allowed)
 	}
-	assert.Equal(t, peers.asked, 1, "the others were held")
+	assert.Equal(t, peers.asked, 1, "the other tokens were prefetched")
 	suspended += 2 * time.Second
 	assert.Assert(t, l.Admit(t.Context(), limit).Allowed)
 	assert.Equal(t, peers.asked, 2)
--- a/ratelimit/unit_test.go
+++ b/ratelimit/unit_test.go
@@ -93,7 +93,7 @@
 	assert.Equal(t, s.Begin(at(0), of), ratelimit.StepAsk)
 	assert.Equal(t, s.Answered(at(1), ratelimit.TokenReply{Tokens: 3}), ratelimit.StepAllow)
 	assert.Equal(t, s.Begin(at(2), of), ratelimit.StepAllow)
-	assert.Equal(t, s.Begin(at(400), of), ratelimit.StepAsk, "the last one is stale")
+	assert.Equal(t, s.Begin(at(400), of), ratelimit.StepAsk, "the last prefetched token has expired")
 	assert.Equal(t, s.Answered(at(401), ratelimit.TokenReply{Next: time.Second, Turn: 2 * time.Second}), ratelimit.StepRefuse)
 	assert.Equal(t, s.RetryAfter(at(401)), 2*time.Second)
 	assert.Equal(t, s.Begin(at(402), of), ratelimit.StepRefuse)
@@ -201,8 +201,8 @@
 		// least and most bound the number of requests that are allowed at once.
 		least, most int
 	}{
-		"the home answers":              {least: 20, most: 22},
-		"the home is silent":            {failure: errSilent, least: 15, most: 16},
+		"the home replies":              {least: 20, most: 22},
+		"the home does not reply":       {failure: errSilent, least: 15, most: 16},
 		"the home is proved not to run": {failure: errRefused, least: 1, most: 3},
 	}
 	for name, test := range tests {
@@ -235,7 +235,7 @@
 			assert.Assert(t, refused.OverLimit)
 			assert.Assert(t, refused.RetryAfter > 0)
 			assert.Assert(t, refused.Evidence != "")
-			assert.Assert(t, p.asked < 400, "a refusal is not asked for again at once")
+			assert.Assert(t, p.asked < 400, "a refusal is repeated without asking again")
 			assert.Assert(t, p.all[hostOf(0)].Admit(context.Background(), slatewind.WorkspaceLimit{Workspace: "free"}).Allowed)
 		})
 	}
@@ -296,5 +296,5 @@
 	assert.Assert(t, v.RetryAfter > 0)
 	assert.Equal(t, p.asked, 2)
 	l.Admit(context.Background(), limit(5, 5, 1))
-	assert.Equal(t, p.asked, 2, "silent processes are left alone")
+	assert.Equal(t, p.asked, 2, "no token requests during the back-off")
 }
