--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -49,14 +49,14 @@
 // Refusal is the reason why an attempt was not admitted; empty means admitted.
 type Refusal string
 
-// Reasons to refuse an attempt. All but RefusedDouble prove that the attempt does
+// Reasons to refuse an attempt. All but RefusedDuplicate prove that the attempt does
 // not run; of duplicates, the one that arrived first may run.
 const (
-	Admitted       Refusal = ""
-	RefusedStale   Refusal = "addressed to an earlier incarnation of the sidecar"
-	RefusedTomb    Refusal = "cancelled before it arrived"
-	RefusedDouble  Refusal = "the same attempt arrived before"
-	RefusedNoSpace Refusal = "no memory left for attempts"
+	Admitted         Refusal = ""
+	RefusedStale     Refusal = "addressed to an earlier incarnation of the sidecar"
+	RefusedCancelled Refusal = "cancelled before it arrived"
+	RefusedDuplicate Refusal = "the same attempt arrived before"
+	RefusedNoSpace   Refusal = "no memory left for attempts"
 )
 
 // phase is the progress of an attempt.
@@ -140,10 +140,10 @@
 	hash := xxhash.Sum64String(id)
 	switch t.find(hash) {
 	case phaseTombstone:
-		return RefusedTomb
+		return RefusedCancelled
 	case 0:
 	default:
-		return RefusedDouble
+		return RefusedDuplicate
 	}
 	if !t.current(incarnation) {
 		return RefusedStale
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -40,7 +40,7 @@
 			"admit": func(t *rapid.T) {
 				f := pick(t)
 				refusal := table.Admit(f.id, f.incarnation)
-				if refusal != attempt.Admitted && refusal != attempt.RefusedDouble && started[f.id] == 0 {
+				if refusal != attempt.Admitted && refusal != attempt.RefusedDuplicate && started[f.id] == 0 {
 					denied[f.id] = denied[f.id] || refusal != attempt.RefusedNoSpace && refusal != attempt.RefusedStale
 				}
 			},
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -251,7 +251,7 @@
 
 // Heard implements gossip.Events.
 func (p *Process) Heard(now time.Time, digests []*slatewindv1.Digest) {
-	p.ingress.Heard(now, digests)
+	p.ingress.ApplyDigests(now, digests)
 }
 
 // SelfLeaving implements gossip.Events.
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// Ask exchanges news with the processes of VMs and waits for all, or for ctx.
-func (g *Gossip) Ask(ctx context.Context, vms []string) {
+// RefreshDigests exchanges news with the processes of VMs and waits for all, or for ctx.
+func (g *Gossip) RefreshDigests(ctx context.Context, vms []string) {
 	var group sync.WaitGroup
 	for _, vm := range vms {
 		if vm == g.self {
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -206,7 +206,7 @@
 // its cancellation.
 func (in *Ingress) recordLostReply(rq *request, a *attempt) {
 	now := time.Now()
-	in.recent.Lost(now, rq.service.GetName(), a.server.GetName())
+	in.recent.RecordLostReply(now, rq.service.GetName(), a.server.GetName())
 	rq.shard.mu.Lock()
 	rq.shard.policy.ReplyLost(now, a.server.GetName())
 	in.unlockAndPublish(rq.shard)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -46,8 +46,8 @@
 	DataCentre(vm string) string
 	// Leaving reports whether a VM is known to accept no new work.
 	Leaving(vm string) bool
-	// Ask fetches the latest digests of the servers of VMs.
-	Ask(ctx context.Context, vms []string)
+	// RefreshDigests fetches the latest digests of the servers of VMs.
+	RefreshDigests(ctx context.Context, vms []string)
 	// Relay forwards digests to a few other processes.
 	Relay(digests []*slatewindv1.Digest)
 	// Hint records that the process at an address reported a settings version.
@@ -104,8 +104,8 @@
 
 // Recorder keeps recent events for slatewind record.
 type Recorder interface {
-	Heard(now time.Time, digest *slatewindv1.Digest)
-	Lost(now time.Time, service, server string)
+	RecordDigest(now time.Time, digest *slatewindv1.Digest)
+	RecordLostReply(now time.Time, service, server string)
 }
 
 // New returns an ingress without services; Update adds them.
@@ -165,8 +165,8 @@
 	})
 }
 
-// Heard applies digests received by gossip.
-func (in *Ingress) Heard(now time.Time, digests []*slatewindv1.Digest) {
+// ApplyDigests applies digests received by gossip.
+func (in *Ingress) ApplyDigests(now time.Time, digests []*slatewindv1.Digest) {
 	for _, digest := range digests {
 		in.applyDigest(now, digest, false)
 	}
@@ -177,7 +177,7 @@
 	if sh == nil {
 		return
 	}
-	in.recent.Heard(now, digest)
+	in.recent.RecordDigest(now, digest)
 	sh.mu.Lock()
 	sh.policy.ApplyDigest(now, digest, direct)
 	in.unlockAndPublish(sh)
@@ -250,7 +250,7 @@
 func (in *Ingress) confirm(sh *shard, vms []string) {
 	ctx, cancel := context.WithTimeout(in.ctx, refreshTimeout)
 	defer cancel()
-	in.members.Ask(ctx, vms)
+	in.members.RefreshDigests(ctx, vms)
 	sh.mu.Lock()
 	sh.policy.Confirm(time.Now())
 	in.unlockAndPublish(sh)
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -112,12 +112,12 @@
 // fakeMembers returns the name of a VM as its address.
 type fakeMembers struct{}
 
-func (fakeMembers) Address(vm string) string      { return vm }
-func (fakeMembers) DataCentre(string) string      { return "dc" }
-func (fakeMembers) Leaving(string) bool           { return false }
-func (fakeMembers) Hint(string, config.Version)   {}
-func (fakeMembers) Ask(context.Context, []string) {}
-func (fakeMembers) Relay([]*slatewindv1.Digest)   {}
+func (fakeMembers) Address(vm string) string                 { return vm }
+func (fakeMembers) DataCentre(string) string                 { return "dc" }
+func (fakeMembers) Leaving(string) bool                      { return false }
+func (fakeMembers) Hint(string, config.Version)              {}
+func (fakeMembers) RefreshDigests(context.Context, []string) {}
+func (fakeMembers) Relay([]*slatewindv1.Digest)              {}
 
 type fakeMeter struct{}
 
@@ -127,8 +127,8 @@
 
 type fakeRecorder struct{}
 
-func (fakeRecorder) Heard(time.Time, *slatewindv1.Digest) {}
-func (fakeRecorder) Lost(time.Time, string, string)       {}
+func (fakeRecorder) RecordDigest(time.Time, *slatewindv1.Digest) {}
+func (fakeRecorder) RecordLostReply(time.Time, string, string)   {}
 
 func newIngress(t *testing.T, links *fakeLinks) (*ingress.Ingress, *history.Journal) {
 	t.Helper()
--- a/once/once.go
+++ b/once/once.go
@@ -70,7 +70,7 @@
 
 // Actions of a sidecar.
 const (
-	// ActionRun: run the request, then call Finish, Lose or Revoke.
+	// ActionRun: run the request, then call Finish, MarkLost or Revoke.
 	ActionRun Action = "run"
 	// ActionJoin: the request is running; wait for its end.
 	ActionJoin Action = "join"
@@ -263,8 +263,8 @@
 	s.shrinkAnswers()
 }
 
-// Lose records that a running request was started and its answer lost.
-func (s *Store) Lose(now time.Time, id ID) {
+// MarkLost records that a running request was started and its answer lost.
+func (s *Store) MarkLost(now time.Time, id ID) {
 	if known := s.records[id]; known != nil {
 		known.state = slatewind.RecordLost
 		s.touch(now, known)
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -203,7 +203,7 @@
 	w.ran[f.id]++
 	s.attempts.End(f.id)
 	if what == "lose" {
-		s.records.Lose(w.now, f.request.ID)
+		s.records.MarkLost(w.now, f.request.ID)
 		w.reply(f, once.RanUnknown)
 		return
 	}
--- a/replay/recorder.go
+++ b/replay/recorder.go
@@ -34,8 +34,8 @@
 	return &Recorder{node: node, events: make([]recorded, max(limit, 1)), seen: map[string]uint64{}}
 }
 
-// Heard keeps the outcomes in a digest that were not kept before.
-func (r *Recorder) Heard(now time.Time, d *slatewindv1.Digest) {
+// RecordDigest keeps the outcomes in a digest that were not kept before.
+func (r *Recorder) RecordDigest(now time.Time, d *slatewindv1.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	outcomes := d.GetOutcomes()
@@ -53,8 +53,8 @@
 	}
 }
 
-// Lost keeps an attempt that got no reply at all.
-func (r *Recorder) Lost(now time.Time, _, server string) {
+// RecordLostReply keeps an attempt that got no reply at all.
+func (r *Recorder) RecordLostReply(now time.Time, _, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.add(recorded{at: now, server: server, lost: true})
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -109,7 +109,7 @@
 				latency = 60 * time.Millisecond
 			}
 			ring.Add(0, slatewind.ResultOK, latency)
-			recorder.Heard(now, &slatewindv1.Digest{Service: "kassa", Server: name, Sequence: ring.Sequence(), Outcomes: ring.Newest(nil)})
+			recorder.RecordDigest(now, &slatewindv1.Digest{Service: "kassa", Server: name, Sequence: ring.Sequence(), Outcomes: ring.Newest(nil)})
 		}
 	}
 	text, err := recorder.Trace(store.Current())
--- a/replay/side.go
+++ b/replay/side.go
@@ -304,7 +304,7 @@
 		return once.RanUnknown
 	case ModeLosesAnswer:
 		s.attempts.End(r.Attempt)
-		s.records.Lose(now, r.ID)
+		s.records.MarkLost(now, r.ID)
 		return once.RanUnknown
 	}
 	s.attempts.End(r.Attempt)
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -68,7 +68,7 @@
 	}
 	switch refused := r.server.admit(now, request.GetAttemptId(), request.GetIncarnation()); refused {
 	case attempt.Admitted:
-	case attempt.RefusedDouble:
+	case attempt.RefusedDuplicate:
 		return r.sendOutcome(slatewind.OutcomeUnknown, string(refused), 0)
 	case attempt.RefusedStale:
 		// The ingress sends the attempt again with the current incarnation, so its
@@ -272,7 +272,7 @@
 }
 
 func (r *run) recordLost() {
-	r.endRecord(func(records *once.Store, id once.ID) { records.Lose(time.Now(), id) })
+	r.endRecord(func(records *once.Store, id once.ID) { records.MarkLost(time.Now(), id) })
 }
 
 // endRecord applies change to the record that is running for this attempt, if any.
