--- a/replay/events.go
+++ b/replay/events.go
@@ -12,37 +12,37 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// happen plays one event.
-func (p *player) happen(e Event) {
+// playEvent applies one event to the replay.
+func (p *player) playEvent(e Event) {
 	switch {
 	case e.Sick != nil:
-		p.mark(e.Sick)
+		p.playSick(e.Sick)
 	case e.Outcome != nil:
-		p.outcome(e)
+		p.playOutcome(e)
 	case e.Lost != nil:
-		p.lost(e)
+		p.playLost(e)
 	case e.Probe != nil:
-		p.probe(e)
+		p.playProbe(e)
 	case e.Load != nil:
-		p.load(e)
+		p.playLoad(e)
 	case e.Traffic != nil:
-		p.traffic(e)
+		p.playTraffic(e)
 	case e.Leaving != nil:
-		p.leaving(e)
+		p.playLeaving(e)
 	case e.Listed != nil:
-		p.listed(e)
+		p.playListed(e)
 	case e.Settings != nil:
 		if err := p.applySettings(e.Settings); err != nil {
 			p.journal.Add(slatewind.Decision{Time: p.now(), Kind: slatewind.DecisionSettingsIgnored, Reason: err.Error()})
 		}
 	case e.Sync != nil:
-		p.sync(e.Sync)
+		p.playSync(e.Sync)
 	default:
-		p.happenAtSides(e)
+		p.playNetworkOrSidecarEvent(e)
 	}
 }
 
-func (p *player) happenAtSides(e Event) {
+func (p *player) playNetworkOrSidecarEvent(e Event) {
 	switch {
 	case e.Cut != nil:
 		p.network.cut(e.Cut.From, e.Cut.To)
@@ -51,40 +51,40 @@
 	case e.Delay != nil:
 		p.network.delays[[2]string{e.Delay.From, e.Delay.To}] = e.Delay
 	case e.Pause != nil:
-		p.sides[e.Pause.Server].pause(time.Duration(e.Pause.For))
+		p.sidecars[e.Pause.Server].pause(time.Duration(e.Pause.For))
 	case e.Restart != nil:
-		p.sides[e.Restart.Server].restart()
+		p.sidecars[e.Restart.Server].restart()
 	case e.Server != nil:
-		p.sides[e.Server.Name].mode = e.Server.Mode
+		p.sidecars[e.Server.Name].mode = e.Server.Mode
 	case e.Request != nil:
-		p.at(e, func(n *node) { p.request(n, e.Request) })
+		p.forNodes(e, func(n *node) { p.playRequest(n, e.Request) })
 	}
 }
 
-func (p *player) mark(s *Sick) {
+func (p *player) playSick(s *Sick) {
 	if s.Over {
-		delete(p.sick, s.Server)
+		delete(p.sickSince, s.Server)
 		return
 	}
-	p.sick[s.Server] = p.queue.Now()
+	p.sickSince[s.Server] = p.queue.Now()
 }
 
-func (p *player) outcome(e Event) {
+func (p *player) playOutcome(e Event) {
 	o := e.Outcome
 	class := uint8(o.Class)
 	if o.Route != "" {
 		class = outlier.Class(o.Route)
 	}
 	latency := float64(o.Latency) * math.Exp(o.Spread*p.random.NormFloat64())
-	p.at(e, func(n *node) {
+	p.forNodes(e, func(n *node) {
 		if service := p.servicePolicy(n, o.Server); service != nil {
 			service.Observe(p.now(), slatewind.Observation{Server: o.Server, Class: class, Result: o.Result, Latency: time.Duration(latency)})
 		}
 	})
 }
 
-func (p *player) lost(e Event) {
-	p.at(e, func(n *node) {
+func (p *player) playLost(e Event) {
+	p.forNodes(e, func(n *node) {
 		service := p.servicePolicy(n, e.Lost.Server)
 		switch {
 		case service == nil:
@@ -96,20 +96,20 @@
 	})
 }
 
-func (p *player) probe(e Event) {
+func (p *player) playProbe(e Event) {
 	if !e.Probe.Failed {
 		return
 	}
-	p.at(e, func(n *node) {
+	p.forNodes(e, func(n *node) {
 		if service := p.servicePolicy(n, e.Probe.Server); service != nil {
 			service.Observe(p.now(), slatewind.Observation{Server: e.Probe.Server, Result: slatewind.ResultProbeFailed})
 		}
 	})
 }
 
-func (p *player) load(e Event) {
-	s := p.sides[e.Load.Server]
-	p.at(e, func(n *node) {
+func (p *player) playLoad(e Event) {
+	s := p.sidecars[e.Load.Server]
+	p.forNodes(e, func(n *node) {
 		digest := s.digest()
 		digest.InFlight = e.Load.InFlight
 		digest.Queued = e.Load.Queued
@@ -117,9 +117,10 @@
 	})
 }
 
-// traffic has ingresses choose a server for a repeatable request.
-func (p *player) traffic(e Event) {
-	p.at(e, func(n *node) {
+// playTraffic has each node that the event concerns pick a server and send it one
+// repeatable request.
+func (p *player) playTraffic(e Event) {
+	p.forNodes(e, func(n *node) {
 		service := n.policies[e.Traffic.Service]
 		if service == nil {
 			return
@@ -130,72 +131,73 @@
 		}
 		server := service.Name(i)
 		started := service.Started(p.now(), i, 0)
-		p.send(n, p.sides[server], time.Duration(e.Traffic.Latency))
+		p.sendRepeatable(n, p.sidecars[server], time.Duration(e.Traffic.Latency))
 		service.Ended(started)
 	})
 }
 
-func (p *player) leaving(e Event) {
-	s := p.sides[e.Leaving.Server]
+func (p *player) playLeaving(e Event) {
+	s := p.sidecars[e.Leaving.Server]
 	s.leaving = !e.Leaving.Over
 	if e.Leaving.Silent {
 		return
 	}
-	p.at(e, func(n *node) { n.policies[s.service].ApplyDigest(p.now(), s.digest(), false) })
+	p.forNodes(e, func(n *node) { n.policies[s.service].ApplyDigest(p.now(), s.digest(), false) })
 }
 
-func (p *player) listed(e Event) {
-	for _, s := range p.sides {
+func (p *player) playListed(e Event) {
+	for _, s := range p.sidecars {
 		if s.vm == e.Listed.VM {
-			p.at(e, func(n *node) {
+			p.forNodes(e, func(n *node) {
 				n.policies[s.service].SetLeaving(p.now(), s.name, e.Listed.State == slatewind.VMLeaving)
 			})
 		}
 	}
 }
 
-// applySettings offers a file to nodes and sidecars.
+// applySettings offers a settings file to its recipients among the nodes and
+// sidecars.
 func (p *player) applySettings(s *Settings) error {
 	text := s.Text
 	if text == "" {
 		text = p.trace.Settings
 		for from, to := range s.Replace {
 			if !strings.Contains(text, from) {
-				return Error.New("settings revision %d: nothing to replace for %q", s.Revision, from)
+				return Error.New("settings revision %d: replace: %q is not in the settings of the trace", s.Revision, from)
 			}
 			text = strings.ReplaceAll(text, from, to)
 		}
 	}
 	for _, n := range p.nodes {
-		if concerns(s.To, n.name) {
-			p.offer(n, s.Revision, []byte(text))
+		if isRecipient(s.To, n.name) {
+			p.offerSettings(n, s.Revision, []byte(text))
 		}
 	}
-	for _, side := range p.sides {
-		if concerns(s.To, side.name) {
-			side.offer(s.Revision, []byte(text))
+	for _, recipient := range p.sidecars {
+		if isRecipient(s.To, recipient.name) {
+			recipient.offerSettings(s.Revision, []byte(text))
 		}
 	}
 	return nil
 }
 
-func concerns(to []string, name string) bool {
+func isRecipient(to []string, name string) bool {
 	if len(to) == 0 {
 		return true
 	}
 	return slices.Contains(to, name)
 }
 
-func (p *player) offer(n *node, revision uint64, text []byte) {
+func (p *player) offerSettings(n *node, revision uint64, text []byte) {
 	before := n.store.Version()
 	changed, err := n.store.Offer(p.now(), "trace", slatewind.Revision{Number: revision}, text)
 	if err != nil || !changed {
 		return
 	}
 	if before.Newer(n.store.Version()) {
-		p.miss(-1, fmt.Sprintf("%s went back from revision %d to %d", n.name, before.Revision, revision))
+		p.addMiss(-1, fmt.Sprintf("settings of %s went back from revision %d to %d", n.name, before.Revision, revision))
 	}
-	n.revisions = append(n.revisions, inForce{at: p.queue.Now(), revision: revision})
+	n.revisions = append(n.revisions, revisionChange{at: p.queue.Now(), revision: revision})
 	for name, service := range n.policies {
 		if settings := n.store.Current().Services[name]; settings != nil {
 			service.Update(p.now(), settings, func(string) string { return "" })
@@ -203,8 +205,8 @@
 	}
 }
 
-// sync has one node take another's settings, as gossip does.
-func (p *player) sync(s *Sync) {
+// playSync has one node fetch the settings of another, as gossip does.
+func (p *player) playSync(s *Sync) {
 	if p.network.lost(s.From, s.To) {
 		return
 	}
@@ -221,5 +223,5 @@
 		return
 	}
 	current := from.store.Current()
-	p.offer(to, current.Version.Revision, current.Text)
+	p.offerSettings(to, current.Version.Revision, current.Text)
 }
--- a/replay/judge.go
+++ b/replay/expect.go
@@ -7,42 +7,43 @@
 	"slatewind.example/slatewind/history"
 )
 
-// judge compares what happened with each stated outcome.
-func (p *player) judge() {
+// checkExpectations reports every expectation of the trace that was not met.
+func (p *player) checkExpectations() {
 	for i, x := range p.trace.Expect {
-		if reason := p.failure(x); reason != "" {
-			p.miss(i, reason)
+		if reason := p.checkExpectation(x); reason != "" {
+			p.addMiss(i, reason)
 		}
 	}
 }
 
-// failure returns why a stated outcome did not come about, or nothing.
-func (p *player) failure(x Expect) string {
+// checkExpectation returns why an expectation was not met, or an empty string.
+func (p *player) checkExpectation(x Expect) string {
 	switch {
 	case x.Ejected != nil:
-		return p.notEjected(x.Ejected)
+		return p.checkEjected(x.Ejected)
 	case x.NeverEjected != nil:
-		return p.wasEjected(x.NeverEjected)
+		return p.checkNeverEjected(x.NeverEjected)
 	case x.Floor != nil:
-		// Floors are checked at every tick; here only that the service exists.
-		return p.unknownService(x.Floor.Service)
+		// checkFloors checks the floors at every tick; here it is only checked that
+		// the service exists.
+		return p.checkServiceExists(x.Floor.Service)
 	case x.InForce != nil:
-		return p.notInForce(x.InForce)
+		return p.checkInForce(x.InForce)
 	case x.NoStart != nil:
-		return p.startedLate(x.NoStart)
+		return p.checkNoStart(x.NoStart)
 	case x.Runs != nil:
-		return p.wrongRuns(x.Runs)
+		return p.checkRuns(x.Runs)
 	case x.Answer != nil:
-		return p.wrongAnswer(x.Answer)
+		return p.checkAnswer(x.Answer)
 	case x.State != nil:
-		return p.wrongState(x.State)
+		return p.checkState(x.State)
 	case x.Decision != nil:
-		return p.undecided(x.Decision)
+		return p.checkDecision(x.Decision)
 	}
-	return "the expectation states nothing"
+	return "the expectation is empty"
 }
 
-func (p *player) notEjected(x *Ejected) string {
+func (p *player) checkEjected(x *Ejected) string {
 	for _, n := range p.nodes {
 		if x.Node != "" && x.Node != n.name {
 			continue
@@ -63,7 +64,7 @@
 	return false
 }
 
-func (p *player) wasEjected(x *Subject) string {
+func (p *player) checkNeverEjected(x *Subject) string {
 	for _, e := range p.ejected {
 		if e.server == x.Server && (x.Node == "" || x.Node == e.node) {
 			return fmt.Sprintf("%s ejected %s at %s", e.node, e.server, e.at)
@@ -72,16 +73,16 @@
 	return ""
 }
 
-func (p *player) unknownService(name string) string {
+func (p *player) checkServiceExists(name string) string {
 	for _, service := range p.fleet.GetServices() {
 		if service.GetName() == name {
 			return ""
 		}
 	}
-	return fmt.Sprintf("the settings have no service %q", name)
+	return fmt.Sprintf("there is no service %q in the settings", name)
 }
 
-func (p *player) notInForce(x *InForce) string {
+func (p *player) checkInForce(x *InForce) string {
 	for _, n := range p.nodes {
 		if n.name != x.Node {
 			continue
@@ -100,39 +101,39 @@
 	return fmt.Sprintf("there is no node %q", x.Node)
 }
 
-func (p *player) startedLate(x *NoStart) string {
-	if p.sides[x.Server] == nil {
+func (p *player) checkNoStart(x *NoStart) string {
+	if p.sidecars[x.Server] == nil {
 		return fmt.Sprintf("there is no server %q", x.Server)
 	}
 	if last, ok := p.lastRun[x.Server]; ok && last > time.Duration(x.After) {
-		return fmt.Sprintf("%s started something at %s", x.Server, last)
+		return fmt.Sprintf("%s started a request at %s", x.Server, last)
 	}
 	return ""
 }
 
-func (p *player) wrongRuns(x *Runs) string {
+func (p *player) checkRuns(x *Runs) string {
 	n := p.runs[x.Key]
 	if x.AtMost != nil && n > *x.AtMost {
-		return fmt.Sprintf("key %s ran %d times, at most %d stated", x.Key, n, *x.AtMost)
+		return fmt.Sprintf("key %s ran %d times, at most %d expected", x.Key, n, *x.AtMost)
 	}
 	if x.Is != nil && n != *x.Is {
-		return fmt.Sprintf("key %s ran %d times, %d stated", x.Key, n, *x.Is)
+		return fmt.Sprintf("key %s ran %d times, %d expected", x.Key, n, *x.Is)
 	}
 	return ""
 }
 
-func (p *player) wrongAnswer(x *AnswerIs) string {
-	told, ok := p.answers[x.Request]
+func (p *player) checkAnswer(x *AnswerIs) string {
+	outcome, ok := p.answers[x.Request]
 	if !ok {
 		return fmt.Sprintf("request %s got no answer", x.Request)
 	}
-	if told != x.Outcome {
-		return fmt.Sprintf("request %s was told %s, not %s", x.Request, told, x.Outcome)
+	if outcome != x.Outcome {
+		return fmt.Sprintf("request %s got the outcome %s, not %s", x.Request, outcome, x.Outcome)
 	}
 	return ""
 }
 
-func (p *player) wrongState(x *StateIs) string {
+func (p *player) checkState(x *StateIs) string {
 	for _, n := range p.nodes {
 		if n.name != x.Node {
 			continue
@@ -142,14 +143,14 @@
 			return fmt.Sprintf("there is no server %q", x.Server)
 		}
 		if state := service.State(x.Server); state != x.State {
-			return fmt.Sprintf("%s has %s as %s, not %s", n.name, x.Server, state, x.State)
+			return fmt.Sprintf("%s treats %s as %s, not %s", n.name, x.Server, state, x.State)
 		}
 		return ""
 	}
 	return fmt.Sprintf("there is no node %q", x.Node)
 }
 
-func (p *player) undecided(x *DecidedOn) string {
+func (p *player) checkDecision(x *DecidedOn) string {
 	for _, d := range p.journal.Find(history.Filter{Server: x.Server}) {
 		if d.Kind == x.Kind {
 			return ""
--- a/replay/play.go
+++ b/replay/play.go
@@ -14,19 +14,20 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// start is the time at which every trace begins.
+// start is the wall-clock time at which every replay begins.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// tickInterval is how often the decision code is ticked.
+// tickInterval is the interval of calls to Tick of the policies and sidecars.
 const tickInterval = 100 * time.Millisecond
 
-// settle is how long a replay goes on after its last event.
-const settle = 2 * time.Second
+// settleTime is how long a replay continues after its last event or time limit.
+const settleTime = 2 * time.Second
 
-// Miss is a stated outcome that did not come about.
+// Miss is an expectation that was not met or an invariant that was violated.
 type Miss struct {
-	// Index of the expectation in the trace, or -1 for what must always hold.
-	Index  int
+	// Index of the expectation in the trace, or -1 for an invariant.
+	Index int
+	// At is the time since the start of the trace.
 	At     time.Duration
 	Reason string
 }
@@ -35,22 +36,23 @@
 type Report struct {
 	Name   string
 	Misses []Miss
-	// Detection is, by server marked sick, how long it took the first and the
-	// last node to eject it.
+	// Detection has one entry for each node that ejected a server while the trace
+	// marked it as sick, in the order of the ejections.
 	Detection []Detection
 	// FalseEjections counts ejections of servers that were not marked sick.
 	FalseEjections int
 	Decisions      []slatewind.Decision
 }
 
-// Detection is how long a sick server kept receiving work.
+// Detection is the time that a node took to eject a server marked as sick.
 type Detection struct {
 	Server string
 	Node   string
-	After  time.Duration
+	// After is the time from the mark to the ejection.
+	After time.Duration
 }
 
-// String renders a report for the terminal.
+// String formats the report for a terminal.
 func (r *Report) String() string {
 	var b strings.Builder
 	verdict := "pass"
@@ -67,75 +69,77 @@
 	return b.String()
 }
 
-// node is one ingress in a replay.
+// node is a simulated ingress.
 type node struct {
 	name     string
 	store    *config.Store
 	policies map[string]*policy.Service
-	// revisions lists what was put in force, in order.
-	revisions []inForce
+	// revisions lists the settings revisions that came into force, in order.
+	revisions []revisionChange
 }
 
-type inForce struct {
+// revisionChange records when a node put a settings revision in force.
+type revisionChange struct {
 	at       time.Duration
 	revision uint64
 }
 
-// ejection is one ejection that was decided.
+// ejection records that a node ejected a server.
 type ejection struct {
 	node   string
 	server string
 	at     time.Duration
 }
 
-// player holds the state of one replay.
+// player holds the state of one replay. It runs on a single goroutine.
 type player struct {
-	trace   *Trace
-	fleet   *slatewindv1.Fleet
-	random  *rand.Rand
-	journal *history.Journal
-	report  *Report
-	queue   schedule.Queue
-	serial  int
+	trace         *Trace
+	fleet         *slatewindv1.Fleet
+	random        *rand.Rand
+	journal       *history.Journal
+	report        *Report
+	queue         schedule.Queue
+	attemptSerial int
 
-	nodes    []*node
-	sides    map[string]*side
-	network  *network
-	sick     map[string]time.Duration
-	ejected  []ejection
-	answers  map[string]slatewind.Outcome
-	runs     map[string]int
-	lastRun  map[string]time.Duration
-	detected map[string]bool
+	nodes     []*node
+	sidecars  map[string]*sidecar
+	network   *network
+	sickSince map[string]time.Duration
+	ejected   []ejection
+	answers   map[string]slatewind.Outcome
+	runs      map[string]int
+	lastRun   map[string]time.Duration
+	detected  map[string]bool
 }
 
-// Play replays a trace and compares what was decided with what it states.
+// Play replays a trace and checks its expectations. It returns an error if the
+// settings of the trace are invalid.
 func Play(t *Trace) (*Report, error) {
 	fleet, err := config.ParseFleet(t.Name+"/settings", []byte(t.Settings))
 	if err != nil {
 		return nil, err
 	}
 	p := &player{
-		trace:    t,
-		fleet:    fleet,
-		random:   rand.New(rand.NewPCG(t.Seed, 1)),
-		report:   &Report{Name: t.Name},
-		sides:    map[string]*side{},
-		network:  newNetwork(),
-		sick:     map[string]time.Duration{},
-		answers:  map[string]slatewind.Outcome{},
-		runs:     map[string]int{},
-		lastRun:  map[string]time.Duration{},
-		detected: map[string]bool{},
+		trace:     t,
+		fleet:     fleet,
+		random:    rand.New(rand.NewPCG(t.Seed, 1)),
+		report:    &Report{Name: t.Name},
+		sidecars:  map[string]*sidecar{},
+		network:   newNetwork(),
+		sickSince: map[string]time.Duration{},
+		answers:   map[string]slatewind.Outcome{},
+		runs:      map[string]int{},
+		lastRun:   map[string]time.Duration{},
+		detected:  map[string]bool{},
 	}
 	const journalSize = 1 << 16
-	p.journal = history.New(journalSize, p.noteDecision)
+	p.journal = history.New(journalSize, p.recordEjection)
 	if err := p.setUp(); err != nil {
 		return nil, err
 	}
 	end := p.scheduleAll()
-	p.queue.Run(end, p.collect)
-	p.judge()
+	p.queue.Run(end, p.collectDecisions)
+	p.checkExpectations()
 	p.report.Decisions = p.journal.Find(history.Filter{})
 	return p.report, nil
 }
@@ -150,25 +154,25 @@
 	}
 	for _, service := range p.fleet.GetServices() {
 		for _, server := range service.GetServers() {
-			p.sides[server.GetName()] = newSide(p, service.GetName(), server)
+			p.sidecars[server.GetName()] = newSidecar(p, service.GetName(), server)
 		}
 	}
 	return p.applySettings(&Settings{Revision: p.trace.Revision, Text: p.trace.Settings})
 }
 
-// now returns the time of the trace as the decision code sees it.
+// now returns the virtual time as a wall-clock time.
 func (p *player) now() time.Time {
 	return start.Add(p.queue.Now())
 }
 
-// scheduleAll puts every event in the queue and returns the end of the replay.
+// scheduleAll queues all events and ticks and returns the end of the replay.
 func (p *player) scheduleAll() time.Duration {
 	end := time.Duration(0)
 	for _, e := range p.trace.Events {
 		count, every := repeats(e)
 		for k := range count {
 			at := time.Duration(e.At) + time.Duration(k)*every
-			p.queue.At(at, func() { p.happen(e) })
+			p.queue.At(at, func() { p.playEvent(e) })
 			end = max(end, at)
 		}
 	}
@@ -180,14 +184,14 @@
 			end = max(end, time.Duration(x.InForce.At))
 		}
 	}
-	end += settle
+	end += settleTime
 	for at := tickInterval; at <= end; at += tickInterval {
 		p.queue.At(at, p.tick)
 	}
 	return end
 }
 
-// repeats returns how often an event happens and at what distance.
+// repeats returns how often an event occurs and the interval in between.
 func repeats(e Event) (int, time.Duration) {
 	count, every := 0, Duration(0)
 	switch {
@@ -203,8 +207,9 @@
 	return max(count, 1), time.Duration(every)
 }
 
-// collect journals what was decided and checks what must always hold.
-func (p *player) collect() {
+// collectDecisions moves new decisions of all policies to the journal. The name
+// of the node goes into the Request field, where recordEjection reads it.
+func (p *player) collectDecisions() {
 	for _, n := range p.nodes {
 		for _, service := range n.policies {
 			for _, d := range service.TakeDecisions() {
@@ -215,14 +220,15 @@
 	}
 }
 
-// noteDecision keeps ejections for the measures.
-func (p *player) noteDecision(d slatewind.Decision) {
+// recordEjection is called for each decision that is added to the journal. It
+// records ejections and whether the server was marked as sick.
+func (p *player) recordEjection(d slatewind.Decision) {
 	if d.Kind != slatewind.DecisionEject {
 		return
 	}
 	at := p.queue.Now()
 	p.ejected = append(p.ejected, ejection{node: d.Request, server: d.Server, at: at})
-	since, sick := p.sick[d.Server]
+	since, sick := p.sickSince[d.Server]
 	if !sick {
 		p.report.FalseEjections++
 		return
@@ -240,14 +246,15 @@
 			service.Tick(p.now())
 		}
 	}
-	for _, s := range p.sides {
+	for _, s := range p.sidecars {
 		s.tick()
 	}
 	p.checkFloors()
 }
 
-// checkFloors holds at every tick, whatever the trace states: nothing may be
-// out while capacity is below the floor and it could serve.
+// checkFloors checks an invariant at every tick, whatever the trace expects: while
+// the capacity of a service is below its floor, no server that could serve may be
+// out of service.
 func (p *player) checkFloors() {
 	for _, n := range p.nodes {
 		snapshot := n.store.Current()
@@ -257,28 +264,29 @@
 				continue
 			}
 			if out, capacity := service.Idle(), service.Capacity(); out > 0 && capacity < int(settings.GetFloor()) {
-				p.miss(-1, fmt.Sprintf("%s: %d server(s) of %s set aside while capacity %d is below the floor %d", n.name, out, name, capacity, settings.GetFloor()))
+				p.addMiss(-1, fmt.Sprintf("%s: %d usable server(s) of %s out of service while capacity %d is below the floor %d", n.name, out, name, capacity, settings.GetFloor()))
 			}
 		}
 	}
 }
 
-func (p *player) miss(index int, reason string) {
+func (p *player) addMiss(index int, reason string) {
 	p.report.Misses = append(p.report.Misses, Miss{Index: index, At: p.queue.Now(), Reason: reason})
 }
 
-// at calls use for each node that an event concerns.
-func (p *player) at(e Event, use func(*node)) {
+// forNodes calls apply for each node that an event concerns.
+func (p *player) forNodes(e Event, apply func(*node)) {
 	for _, n := range p.nodes {
 		if e.Node == "" || e.Node == n.name {
-			use(n)
+			apply(n)
 		}
 	}
 }
 
-// servicePolicy returns the decisions of a node about a server's service.
+// servicePolicy returns the policy of a node for the service of a server, or nil
+// if the trace has no such server.
 func (p *player) servicePolicy(n *node, server string) *policy.Service {
-	s := p.sides[server]
+	s := p.sidecars[server]
 	if s == nil {
 		return nil
 	}
--- a/replay/recorder.go
+++ b/replay/recorder.go
@@ -9,32 +9,39 @@
 	"slatewind.example/slatewind/outlier"
 )
 
-// Recorder keeps the recent events of one ingress in bounded memory, as a
-// trace that slatewind replay can play against changed settings.
+// Recorder keeps the recent events of one ingress in a ring buffer. Trace returns
+// them in the format that slatewind replay reads, for example to replay them with
+// changed settings.
 type Recorder struct {
 	node string
 
+	// mu guards the fields below.
 	mu     sync.Mutex
 	events []recorded
-	next   int
-	full   bool
-	seen   map[string]uint64
+	// next is the index of the next write; if full, it is the oldest event.
+	next int
+	full bool
+	// seen holds the sequence number of the last digest of each server.
+	seen map[string]uint64
 }
 
-// recorded is one kept event.
+// recorded is an event in the ring buffer.
 type recorded struct {
 	at     time.Time
 	server string
+	// packed is an outcome as outlier.Unpack reads it; unused if lost is set.
 	packed uint32
 	lost   bool
 }
 
-// NewRecorder returns a recorder for so many events.
+// NewRecorder returns a recorder that keeps the last limit events, at least one.
 func NewRecorder(node string, limit int) *Recorder {
 	return &Recorder{node: node, events: make([]recorded, max(limit, 1)), seen: map[string]uint64{}}
 }
 
-// RecordDigest keeps the outcomes in a digest that were not kept before.
+// RecordDigest records the outcomes in a received digest that are newer than the last
+// digest of the server. A lower sequence number than the last one means that the
+// sidecar restarted: all outcomes of the digest are new then.
 func (r *Recorder) RecordDigest(now time.Time, d *slatewindv1.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +60,7 @@
 	}
 }
 
-// RecordLostReply keeps an attempt that got no reply at all.
+// RecordLostReply records an attempt that received no reply.
 func (r *Recorder) RecordLostReply(now time.Time, _, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +76,9 @@
 	}
 }
 
-// Trace returns what was kept, as the YAML text of a trace. Nothing is
-// expected of it; the operator adds that.
+// Trace returns the recorded events as a YAML trace with the settings of the
+// snapshot, which may be nil. The trace has no expectations; the operator adds
+// them.
 func (r *Recorder) Trace(snapshot *config.Snapshot) ([]byte, error) {
 	r.mu.Lock()
 	kept := append([]recorded(nil), r.events[:r.next]...)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -26,7 +26,8 @@
 	return trace
 }
 
-// TestTraces plays every recorded trace against its stated outcomes.
+// TestTraces replays all recorded traces. Their expectations have to be met, and no
+// server that is not marked as sick may be ejected.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("../testdata/traces/*.yaml")
 	assert.NilError(t, err)
@@ -43,9 +44,9 @@
 	}
 }
 
-// TestMissesAreFound states what is wrong about a trace and expects each to be
-// missed, with its reason.
-func TestMissesAreFound(t *testing.T) {
+// TestUnmetExpectationsAreReported adds one wrong expectation at a time to a trace. Each
+// has to be reported with its reason; otherwise TestTraces would pass whatever happens.
+func TestUnmetExpectationsAreReported(t *testing.T) {
 	tests := map[string]struct {
 		expect string
 		reason string
@@ -56,11 +57,11 @@
 		"in force":      {"{in_force: {node: a, revision: 2, at: 1s}}", "revision 1 in force, not 2"},
 		"no node":       {"{in_force: {node: z, revision: 2, at: 1s}}", `no node "z"`},
 		"no start":      {"{no_start: {server: kassa-9, after: 1s}}", `no server "kassa-9"`},
-		"runs":          {"{runs: {key: k, is: 1}}", "ran 0 times, 1 stated"},
+		"runs":          {"{runs: {key: k, is: 1}}", "ran 0 times, 1 expected"},
 		"answer":        {"{answer: {request: r, outcome: answer}}", "got no answer"},
-		"state":         {"{state: {node: a, server: kassa-1, state: ejected}}", "has kassa-1 as healthy"},
+		"state":         {"{state: {node: a, server: kassa-1, state: ejected}}", "treats kassa-1 as healthy"},
 		"decision":      {"{decision: {kind: leaving, server: kassa-1}}", "no decision leaving"},
-		"nothing":       {"{}", "states nothing"},
+		"nothing":       {"{}", "the expectation is empty"},
 	}
 	text, err := os.ReadFile("../testdata/traces/kassa-slow-3x.yaml")
 	assert.NilError(t, err)
@@ -77,11 +78,13 @@
 	}
 }
 
-func TestDecodeFindsFaults(t *testing.T) {
+// TestDecodeRejectsInvalidTraces checks the errors for invalid traces. Without them a
+// misspelt event would be ignored and the replay would prove nothing.
+func TestDecodeRejectsInvalidTraces(t *testing.T) {
 	tests := map[string]struct{ text, reason string }{
-		"unknown field": {"name: x\nnodes: [a]\nevnets: []\n", "line 3: field evnets not found"},
-		"bare time":     {"name: x\nnodes: [a]\nevents:\n  - {at: 5}\n", `line 4: "5" is not a time with its unit`},
-		"no node":       {"name: x\n", "names no node"},
+		"unknown field":         {"name: x\nnodes: [a]\nevnets: []\n", "line 3: field evnets not found"},
+		"duration without unit": {"name: x\nnodes: [a]\nevents:\n  - {at: 5}\n", `line 4: "5" is not a duration with a unit`},
+		"no node":               {"name: x\n", "the trace has no nodes"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -91,8 +94,8 @@
 	}
 }
 
-// TestRecordedTraceReplays: what a process recorded can be replayed, and against
-// a changed caution the same incident is judged otherwise.
+// TestRecordedTraceReplays checks that a trace written by Recorder can be replayed,
+// and that the replay of the same incident with a higher caution ejects no server.
 func TestRecordedTraceReplays(t *testing.T) {
 	settings := readTrace(t, "../testdata/traces/kassa-slow-3x.yaml").Settings
 	store := config.NewStore(history.New(0, nil))
--- a/replay/side.go
+++ b/replay/sidecar.go
@@ -11,7 +11,7 @@
 	"slatewind.example/slatewind/outlier"
 )
 
-// network says what becomes of messages, by direction.
+// network holds the simulated network faults. The keys are sender and receiver.
 type network struct {
 	cuts   map[[2]string]bool
 	delays map[[2]string]*Delay
@@ -25,8 +25,8 @@
 func (w *network) heal(from, to string)      { delete(w.cuts, [2]string{from, to}) }
 func (w *network) lost(from, to string) bool { return w.cuts[[2]string{from, to}] }
 
-// side is the sidecar of one server in a replay, with the server behind it.
-type side struct {
+// sidecar is a simulated sidecar together with its server.
+type sidecar struct {
 	player  *player
 	service string
 	name    string
@@ -34,47 +34,49 @@
 	slots   uint32
 	mode    ServerMode
 	leaving bool
-	// pausedUntil is when a paused sidecar wakes.
+	// pausedUntil is the end of a pause; it is zero once the sidecar has resumed.
 	pausedUntil time.Time
-	process     int
-	attempts    *attempt.Table
-	records     *once.Store
-	store       *config.Store
-	ring        outlier.Ring
+	// processStarts counts the processes started so far.
+	processStarts int
+	attempts      *attempt.Table
+	records       *once.Store
+	store         *config.Store
+	ring          outlier.Ring
 }
 
-func newSide(p *player, service string, server *slatewindv1.Server) *side {
-	s := &side{
+func newSidecar(p *player, service string, server *slatewindv1.Server) *sidecar {
+	s := &sidecar{
 		player: p, service: service, name: server.GetName(), vm: server.GetVm(), slots: server.GetSlots(), mode: ModeOK,
 	}
-	s.begin()
+	s.startProcess()
 	return s
 }
 
-// begin starts the sidecar's process without any memory.
-func (s *side) begin() {
-	// A process that begins at the very time of another is still another.
-	s.process++
-	began := s.player.now().Add(time.Duration(s.process) * time.Millisecond)
-	s.attempts = attempt.NewTable(s.player.now(), attempt.NewIncarnation(began), 0)
+// startProcess starts the process of the sidecar with empty state.
+func (s *sidecar) startProcess() {
+	// The offset makes the incarnations differ if two processes start at the same
+	// virtual time.
+	s.processStarts++
+	started := s.player.now().Add(time.Duration(s.processStarts) * time.Millisecond)
+	s.attempts = attempt.NewTable(s.player.now(), attempt.NewIncarnation(started), 0)
 	s.records = once.NewStore(s.player.now(), 0, 0)
 	s.store = config.NewStore(s.player.journal)
 	s.ring = outlier.Ring{}
 }
 
-// restart ends the process and starts another, which gets the settings that the
-// old one had, as from its peers.
-func (s *side) restart() {
+// restart replaces the process by a new one. It gets the settings of the old one,
+// as a real process fetches them from its peers.
+func (s *sidecar) restart() {
 	current := s.store.Current()
-	s.begin()
+	s.startProcess()
 	s.leaving = false
 	s.pausedUntil = time.Time{}
 	if current != nil {
-		s.offer(current.Version.Revision, current.Text)
+		s.offerSettings(current.Version.Revision, current.Text)
 	}
 }
 
-func (s *side) offer(revision uint64, text []byte) {
+func (s *sidecar) offerSettings(revision uint64, text []byte) {
 	changed, err := s.store.Offer(s.player.now(), "trace", slatewind.Revision{Number: revision}, text)
 	if err != nil || !changed {
 		return
@@ -82,72 +84,75 @@
 	s.records.SetOwners(s.player.now(), s.service, s.store.Current().Owners[s.service])
 }
 
-func (s *side) pause(d time.Duration) {
+func (s *sidecar) pause(d time.Duration) {
 	s.pausedUntil = s.player.now().Add(d)
 }
 
-func (s *side) paused() bool {
+func (s *sidecar) paused() bool {
 	return s.player.now().Before(s.pausedUntil)
 }
 
-// wake has a sidecar that was paused notice it before it does anything.
-func (s *side) wake() {
+// resume ends a pause that is over. It has to be called before the sidecar does
+// anything else, so that attempts that waited during the pause are refused.
+func (s *sidecar) resume() {
 	if !s.pausedUntil.IsZero() && !s.paused() {
 		s.attempts.Wake(s.player.now())
 		s.pausedUntil = time.Time{}
 	}
 }
 
-func (s *side) tick() {
+func (s *sidecar) tick() {
 	if s.paused() {
 		return
 	}
-	s.wake()
+	s.resume()
 	s.attempts.Rotate(s.player.now())
 }
 
-func (s *side) digest() *slatewindv1.Digest {
+func (s *sidecar) digest() *slatewindv1.Digest {
 	return &slatewindv1.Digest{
 		Service: s.service, Server: s.name, Incarnation: s.attempts.Incarnation(), Slots: s.slots,
 		Leaving: s.leaving, Sequence: s.ring.Sequence(), Outcomes: s.ring.Newest(nil),
 	}
 }
 
-// message tells attempts from what is asked about them.
+// message distinguishes attempts from queries about attempts.
 type message int
 
 const (
 	messageAttempt message = iota
-	messageQuestion
+	messageQuery
 )
 
-// deliver hands a message to the sidecar, at once, late or never. A paused
-// sidecar reads it at its waking. It reports whether it was read at once.
-func (s *side) deliver(from string, kind message, do func()) bool {
+// deliver delivers a message to the sidecar: immediately, delayed, or not at all if
+// the connection is cut. A paused sidecar handles it when the pause ends. The
+// result reports whether the message was handled immediately.
+func (s *sidecar) deliver(from string, kind message, handle func()) bool {
 	w := s.player.network
 	if w.lost(from, s.name) {
 		return false
 	}
 	delay := w.delays[[2]string{from, s.name}]
 	if delay != nil && (kind == messageAttempt || !delay.AttemptsOnly) {
-		s.player.queue.At(s.player.queue.Now()+time.Duration(delay.By), func() { s.read(do) })
+		s.player.queue.At(s.player.queue.Now()+time.Duration(delay.By), func() { s.receive(handle) })
 		return false
 	}
-	return s.read(do)
+	return s.receive(handle)
 }
 
-func (s *side) read(do func()) bool {
+func (s *sidecar) receive(handle func()) bool {
 	if s.paused() {
-		s.player.queue.At(s.pausedUntil.Sub(start), func() { s.read(do) })
+		s.player.queue.At(s.pausedUntil.Sub(start), func() { s.receive(handle) })
 		return false
 	}
-	s.wake()
-	do()
+	s.resume()
+	handle()
 	return true
 }
 
-// ran notes that the server began to run something.
-func (s *side) ran(key string) {
+// recordRun records that the server started a request; key is empty for a
+// repeatable one.
+func (s *sidecar) recordRun(key string) {
 	p := s.player
 	p.lastRun[s.name] = p.queue.Now()
 	if key != "" {
@@ -155,14 +160,14 @@
 	}
 }
 
-// send plays one repeatable request that a node sends to a sidecar.
-func (p *player) send(n *node, s *side, latency time.Duration) {
+// sendRepeatable simulates a repeatable request from a node to a sidecar.
+func (p *player) sendRepeatable(n *node, s *sidecar, latency time.Duration) {
 	service := n.policies[s.service]
 	arrived := s.deliver(n.name, messageAttempt, func() {
 		if s.leaving {
 			return
 		}
-		s.ran("")
+		s.recordRun("")
 		s.ring.Add(0, slatewind.ResultOK, latency)
 	})
 	if s.mode == ModeDown {
@@ -176,8 +181,9 @@
 	service.ApplyDigest(p.now(), s.digest(), true)
 }
 
-// request plays a caller's once-request at a node to its final answer.
-func (p *player) request(n *node, r *Request) {
+// playRequest simulates a once-request at a node up to the final answer to the
+// caller.
+func (p *player) playRequest(n *node, r *Request) {
 	claim := slatewind.ClaimUnnumbered
 	switch {
 	case r.Attempt == 1:
@@ -192,21 +198,21 @@
 		step := chain.Step()
 		switch step.Kind {
 		case once.StepRun:
-			ran, reason := p.tryAt(n, candidates[step.Candidate], p.onceRequest(n, r, step))
+			ran, reason := p.sendAttempt(n, candidates[step.Candidate], p.onceRequest(n, r, step))
 			chain.Ran(ran, reason)
 		case once.StepSeal:
 			chain.Sealed(p.sealAll(n, candidates, p.onceRequest(n, r, step)), 0)
 		default:
 			p.answers[r.ID] = step.Outcome
 			p.journal.Add(slatewind.Decision{
-				Time: p.now(), Kind: decisionOf(step.Outcome), Service: r.Service, Request: r.ID, Reason: step.Reason,
+				Time: p.now(), Kind: decisionKind(step.Outcome), Service: r.Service, Request: r.ID, Reason: step.Reason,
 			})
 			return
 		}
 	}
 }
 
-func decisionOf(outcome slatewind.Outcome) slatewind.DecisionKind {
+func decisionKind(outcome slatewind.Outcome) slatewind.DecisionKind {
 	switch outcome {
 	case slatewind.OutcomeAnswer:
 		return slatewind.DecisionReplay
@@ -216,22 +222,22 @@
 	return slatewind.DecisionRefuse
 }
 
-func (p *player) candidates(service *slatewindv1.Service, key string) []*side {
+func (p *player) candidates(service *slatewindv1.Service, key string) []*sidecar {
 	names := make([]string, 0, len(service.GetServers()))
 	for _, server := range service.GetServers() {
 		names = append(names, server.GetName())
 	}
 	order := make([]int, len(names))
 	once.Candidates(key, names, order)
-	sides := make([]*side, len(names))
+	sidecars := make([]*sidecar, len(names))
 	for i, k := range order {
-		sides[i] = p.sides[names[k]]
+		sidecars[i] = p.sidecars[names[k]]
 	}
-	return sides
+	return sidecars
 }
 
 func (p *player) onceRequest(n *node, r *Request, step once.Step) once.Request {
-	p.serial++
+	p.attemptSerial++
 	claim := step.Claim
 	if step.Kind == once.StepSeal {
 		claim = slatewind.ClaimRetry
@@ -243,13 +249,13 @@
 		KeyBorn:     p.now().Add(-time.Duration(r.KeyAge)),
 		Home:        step.Candidate == 0,
 		Owners:      n.store.Current().Owners[r.Service],
-		Attempt:     r.ID + "/" + time.Duration(p.serial).String(),
+		Attempt:     r.ID + "/" + time.Duration(p.attemptSerial).String(),
 	}
 }
 
-// tryAt sends an attempt to a candidate; without a reply it asks, as the
-// ingress does, whether the attempt was started.
-func (p *player) tryAt(n *node, s *side, r once.Request) (once.Ran, string) {
+// sendAttempt sends an attempt to a candidate. If there is no reply, it cancels the
+// attempt, as the ingress does, to find out whether it was started.
+func (p *player) sendAttempt(n *node, s *sidecar, r once.Request) (once.Ran, string) {
 	if s.mode == ModeDown {
 		return once.RanNotWritten, "the VM is down"
 	}
@@ -261,15 +267,15 @@
 		return result, "the sidecar replied " + string(result)
 	}
 	state := slatewind.CancelUnknown
-	asked := s.deliver(n.name, messageQuestion, func() { state = s.cancel(r, incarnation) })
-	if asked && !p.network.lost(s.name, n.name) && state == slatewind.CancelNotStarted {
+	delivered := s.deliver(n.name, messageQuery, func() { state = s.cancel(r, incarnation) })
+	if delivered && !p.network.lost(s.name, n.name) && state == slatewind.CancelNotStarted {
 		return once.RanCancelled, "cancelled before the start"
 	}
 	return once.RanUnknown, "no reply"
 }
 
-// runOnce is what the sidecar does with an attempt that arrives.
-func (s *side) runOnce(r once.Request, incarnation uint64) once.Ran {
+// runOnce handles an attempt that arrives at the sidecar.
+func (s *sidecar) runOnce(r once.Request, incarnation uint64) once.Ran {
 	if refusal := s.attempts.Admit(r.Attempt, incarnation); refusal != attempt.Admitted {
 		return once.RanCancelled
 	}
@@ -291,14 +297,14 @@
 	return once.RanUnknown
 }
 
-func (s *side) runAtServer(r once.Request) once.Ran {
+func (s *sidecar) runAtServer(r once.Request) once.Ran {
 	now := s.player.now()
 	if s.leaving || s.mode == ModeRefuses || !s.attempts.Start(r.Attempt) {
 		s.attempts.Refuse(r.Attempt)
 		s.records.Revoke(now, r.ID, r.Claim)
 		return once.RanRefused
 	}
-	s.ran(r.ID.Key)
+	s.recordRun(r.ID.Key)
 	switch s.mode {
 	case ModeHangs:
 		return once.RanUnknown
@@ -312,7 +318,7 @@
 	return once.RanAnswer
 }
 
-func (s *side) cancel(r once.Request, incarnation uint64) slatewind.CancelState {
+func (s *sidecar) cancel(r once.Request, incarnation uint64) slatewind.CancelState {
 	state := s.attempts.Cancel(r.Attempt, incarnation)
 	if state != slatewind.CancelNotStarted {
 		return state
@@ -323,7 +329,7 @@
 	return s.records.Cancelled(s.player.now(), r)
 }
 
-func (p *player) sealAll(n *node, candidates []*side, r once.Request) []once.SealReply {
+func (p *player) sealAll(n *node, candidates []*sidecar, r once.Request) []once.SealReply {
 	replies := make([]once.SealReply, len(candidates))
 	for i, s := range candidates {
 		replies[i] = once.SealReply{Unreachable: true}
@@ -331,7 +337,7 @@
 			continue
 		}
 		r.ID.Server = s.name
-		arrived := s.deliver(n.name, messageQuestion, func() { replies[i] = s.records.Seal(p.now(), r) })
+		arrived := s.deliver(n.name, messageQuery, func() { replies[i] = s.records.Seal(p.now(), r) })
 		if !arrived || p.network.lost(s.name, n.name) {
 			replies[i] = once.SealReply{Unreachable: true}
 		}
