--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -15,17 +15,17 @@
 // brokenBuild is the daemon without one safeguard.
 type brokenBuild struct {
 	edits []overlay.Edit
-	// promise is what the soak then finds broken.
+	// promise is the promise that the soak must then report as broken.
 	promise soak.Promise
-	// part is the part of a run that finds it, and fault the way in which servers have
-	// to fail for it.
+	// part is the part of a run that detects it; fault is the failure mode that the servers need
+	// for that, if any.
 	part  soak.Part
 	fault standin.StampedMode
 }
 
 // brokenBuilds has at least one build for each promise.
 var brokenBuilds = map[string]brokenBuild{
-	"single requests are sent again": {
+	"single requests are retried": {
 		promise: soak.PromiseOnce,
 		part:    soak.PartStorm,
 		fault:   standin.StampedLost,
@@ -35,7 +35,7 @@
 			To:   "if true {",
 		}},
 	},
-	"what is unknown is called not run": {
+	"an unknown outcome is reported as not run": {
 		promise: soak.PromiseNotRun,
 		part:    soak.PartStorm,
 		fault:   standin.StampedLost,
@@ -45,7 +45,7 @@
 			To:   "	return http.StatusServiceUnavailable",
 		}},
 	},
-	"a broken answer passes for whole": {
+	"an incomplete answer is passed on as complete": {
 		promise: soak.PromiseOwnAnswer,
 		part:    soak.PartStorm,
 		fault:   standin.StampedCut,
@@ -80,7 +80,7 @@
 			To:   "signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM)\n\tdefer func() { <-stopping.Done() }()\n\treturn app.Stop(stopping)",
 		}},
 	},
-	"a stop takes what it cannot finish": {
+	"a stopping process accepts what it cannot finish": {
 		promise: soak.PromiseFinish,
 		part:    soak.PartStops,
 		edits: []overlay.Edit{
@@ -90,7 +90,7 @@
 			{File: "drain/drain.go", From: "return idle && !c.Open(now) || ", To: "return idle && false || "},
 		},
 	},
-	"a call to the store waits for ever": {
+	"a call to the store has too long a timeout": {
 		promise: soak.PromiseSilentStore,
 		part:    soak.PartSilentStore,
 		edits: []overlay.Edit{{
@@ -99,7 +99,7 @@
 			To:   "idle := time.AfterFunc(wait+time.Minute, cancel)",
 		}},
 	},
-	"a silent process is waited for": {
+	"a silent connection to a peer is kept": {
 		promise: soak.PromiseSilentPeer,
 		part:    soak.PartSilentPeers,
 		edits: []overlay.Edit{{
@@ -108,7 +108,7 @@
 			To:   "if false {",
 		}},
 	},
-	"the store's word that a server leaves is not heard": {
+	"the leaving state in a server's entry is ignored": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartCalm,
 		edits:   []overlay.Edit{{File: "platform/entry.go", From: "entry.Leaving = f.leaving(fieldState)", To: "f.leaving(fieldState)"}},
@@ -130,12 +130,12 @@
 			},
 		},
 	},
-	"a limit is not kept": {
+	"a limit is not enforced": {
 		promise: soak.PromiseLimit,
 		part:    soak.PartWorkspaces,
 		edits:   []overlay.Edit{{File: "ratelimit/bucket.go", From: "if b.level < tokens {", To: "if false {"}},
 	},
-	"a key that was taken away is taken": {
+	"a revoked key is accepted": {
 		promise: soak.PromiseKey,
 		part:    soak.PartWorkspaces,
 		edits: []overlay.Edit{{
@@ -144,12 +144,12 @@
 			To:   "	for _, w := range d.byName {\n\t\treturn w, nil\n\t}\n\treturn nil, ErrUnknownKey",
 		}},
 	},
-	"a claimed name is passed on": {
+	"a workspace name sent by a caller is passed on": {
 		promise: soak.PromiseKey,
 		part:    soak.PartWorkspaces,
 		edits:   []overlay.Edit{{File: "outbound/request.go", From: "o.headerNames.Key, o.headerNames.Workspace)", To: "o.headerNames.Key)"}},
 	},
-	"requests under which servers ended are sent on": {
+	"requests that crashed servers are sent on": {
 		promise: soak.PromiseQuarantine,
 		part:    soak.PartDeadly,
 		edits: []overlay.Edit{
@@ -157,22 +157,22 @@
 			{File: "outbound/quarantine.go", From: "return o.suspects.Check(now, rq.digest).Refused", To: "return false"},
 		},
 	},
-	"the store's era is not read": {
+	"the era of the store is not read": {
 		promise: soak.PromiseSettings,
 		part:    soak.PartRestores,
 		edits:   []overlay.Edit{{File: "platform/platform.go", From: `if text == "" {`, To: "if true {"}},
 	},
-	"a restore is told by a lost history alone": {
+	"a restore is detected by a lost history alone": {
 		promise: soak.PromiseSettings,
 		part:    soak.PartRestores,
 		edits:   []overlay.Edit{{File: "platform/platform.go", From: "if err == nil && era != after.Era {", To: "if false {"}},
 	},
-	"a copy brings a leaving server back": {
+	"a restore brings a leaving server back": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartRestores,
 		edits:   []overlay.Edit{{File: "discovery/servers.go", From: "entry.Leaving || revision.Era > k.leavingSince.Era", To: "entry.Leaving"}},
 	},
-	"a copy brings a removed server back": {
+	"a restore brings a removed server back": {
 		promise: soak.PromiseLeaving,
 		part:    soak.PartRestores,
 		edits:   []overlay.Edit{{File: "discovery/servers.go", From: "case p.Complete && w.resurrected(entry, p.Revision):", To: "case false:"}},
@@ -188,16 +188,16 @@
 	},
 }
 
-// newerInDiscovery is the condition under which published settings are taken.
+// newerInDiscovery is the condition under which discovery takes published settings.
 const newerInDiscovery = "w.settings == nil || settings.Version > w.settings.Version"
 
-// brokenSeeds is how many seeds a broken build may take to be noticed: the order of
-// events is drawn, and the system's own moves in real time are not.
+// brokenSeeds is the number of seeds within which a broken build must be detected. One seed is
+// not enough: a seed determines the order of the faults but not the timing of the processes.
 const brokenSeeds = 3
 
-// TestBrokenBuilds takes one safeguard after the other away and states which
-// promise the soak then finds broken, so that no check is one that never fails. A run
-// ends as soon as it is found.
+// TestBrokenBuilds removes one safeguard at a time and requires that the soak reports the
+// corresponding promise as broken. It guards against checks that never fail. A run ends as soon
+// as the breach is found.
 func TestBrokenBuilds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the daemon once for each safeguard")
@@ -214,7 +214,7 @@
 				report, err := soak.Run(context.Background(), test.options(program, seed))
 				t.Logf("seed %d: %d breaches, error %v", seed, len(report.Breaches), err)
 				if err == nil {
-					// Logs of a build that is broken on purpose tell nothing, unless the
+					// The logs of a build that is broken on purpose are of no use, unless the
 					// run itself failed.
 					t.Cleanup(func() { _ = os.RemoveAll(report.Logs) })
 				}
@@ -227,8 +227,8 @@
 	}
 }
 
-// options say what a run of a broken build is like: no longer than it takes, unless the
-// whole of it is asked for.
+// options returns the options of a run of a broken build. It ends at the first breach, unless
+// the flag soak.whole is set.
 func (b brokenBuild) options(program string, seed uint64) soak.Options {
 	o := options(program, seed, soak.PartStorm, soak.PartCalm, soak.PartSilentPeers, soak.PartSilentStore, soak.PartWorkspaces, soak.PartStops, soak.PartRestores, soak.PartDeadly)
 	if *whole {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -15,57 +15,58 @@
 )
 
 const (
-	// callersPerNode is how many callers keep a connection to each process.
+	// callersPerNode is the number of callers per process; each keeps one connection.
 	callersPerNode = 3
-	// leastPause and mostPause bound the pause between two requests of a caller.
-	leastPause = 10 * time.Millisecond
-	mostPause  = 60 * time.Millisecond
-	// callerTime is how long a caller waits, as it states and as the routes have
-	// it; callerPatience how long it really does, far longer, so that a request is
-	// ended by the fleet and not by its caller.
-	callerTime     = 2 * time.Second
-	callerPatience = 6 * time.Second
+	// minPause and maxPause bound the pause between two requests of a caller.
+	minPause = 10 * time.Millisecond
+	maxPause = 60 * time.Millisecond
+	// requestTimeout is the deadline that a caller sends with a request and the timeout of the
+	// routes. clientTimeout is how long its HTTP client waits: far longer, so that the fleet
+	// ends a request and not its caller.
+	requestTimeout = 2 * time.Second
+	clientTimeout  = 6 * time.Second
 	// singleShare is the share of single requests.
 	singleShare = 0.6
 )
 
-// callers send requests until they are stopped.
+// callers are the goroutines that send requests until stop is called.
 type callers struct {
 	cancel context.CancelFunc
 	work   sync.WaitGroup
 }
 
-// startCallers starts the callers of each process, and a probe of its settings.
+// startCallers starts the callers of each process and the probe of its settings.
 func (f *fleet) startCallers(ctx context.Context, random *rand.Rand) *callers {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &callers{cancel: cancel}
 	for _, n := range f.nodes {
 		for i := range callersPerNode {
-			// Each draws from its own source, so that their order does not matter.
+			// Each caller has its own random source, so that the order in which callers run does
+			// not change what they send.
 			own := rand.New(rand.NewPCG(random.Uint64(), uint64(i)))
-			c.work.Go(func() { f.call(ctx, n, own) })
+			c.work.Go(func() { f.runCaller(ctx, n, own) })
 		}
 		c.work.Go(func() { f.probe(ctx, n) })
 	}
 	return c
 }
 
-// stop lets the callers finish what they began.
+// stop ends the callers once their requests in progress have ended.
 func (c *callers) stop() {
 	c.cancel()
 	c.work.Wait()
 }
 
-// newID returns an id that no other request of this process has.
+// newID returns a random request id.
 func newID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 // newCaller returns a client that keeps one connection open.
 func newCaller() *http.Client {
-	return &http.Client{Timeout: callerPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	return &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 }
 
-// call sends one request after the other to a process over a kept connection.
-func (f *fleet) call(ctx context.Context, n *node, random *rand.Rand) {
+// runCaller sends requests to a process, one after the other, over a kept-alive connection.
+func (f *fleet) runCaller(ctx context.Context, n *node, random *rand.Rand) {
 	client := newCaller()
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -76,37 +77,37 @@
 		id := fmt.Sprintf("%016x", random.Uint64())
 		s := sentRequest{ID: id, Kind: kind, Node: n.number, At: time.Now()}
 		stopping := f.stopping.Load()
-		s.Status, s.Own = f.ask(client, n.number, path, id)
+		s.Status, s.Own = f.send(client, n.number, path, id)
 		s.Ended = time.Now()
 		s.Stopping = stopping || f.stopping.Load()
-		f.record.noteSent(s)
-		time.Sleep(leastPause + time.Duration(random.Int64N(int64(mostPause-leastPause))))
+		f.record.addSent(s)
+		time.Sleep(minPause + time.Duration(random.Int64N(int64(maxPause-minPause))))
 	}
 }
 
-// ask sends one request. The status is zero where no whole answer came; own says
-// that the answer is that of a server to this request.
-func (f *fleet) ask(client *http.Client, to int, path, id string) (status int, own bool) {
-	return f.askWith(client, to, path, id, http.Header{})
+// send sends one request. The status is 0 if no complete answer was received; own reports
+// whether the answer was given by a server to this request.
+func (f *fleet) send(client *http.Client, to int, path, id string) (status int, own bool) {
+	return f.sendWithHeader(client, to, path, id, http.Header{})
 }
 
-// askWith is ask with header fields besides those that every caller sends.
-func (f *fleet) askWith(client *http.Client, to int, path, id string, header http.Header) (status int, own bool) {
+// sendWithHeader is send with additional header fields.
+func (f *fleet) sendWithHeader(client *http.Client, to int, path, id string, header http.Header) (status int, own bool) {
 	status, answerHeader, text := f.post(client, to, path, id, id, header)
 	return status, status != 0 && isOwn(answerHeader, text, path, id)
 }
 
-// post sends a request with a body. The status is 0 where there is no whole answer.
+// post sends a request with a body. The status is 0 if no complete answer was received.
 func (f *fleet) post(client *http.Client, to int, path, id, body string, header http.Header) (status int, answerHeader http.Header, answer string) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+f.address(ownBase, to, portCallers)+path, strings.NewReader(body))
 	if err != nil {
-		panic(err) // Only a wrong address or path in this package does that.
+		panic(err) // Only an invalid address or path in this package causes an error.
 	}
 	r.Host = host
 	r.Header = header
 	r.Header.Set(platform.Callers().RequestID, id)
-	r.Header.Set(platform.Callers().Deadline, fmt.Sprint(callerTime.Milliseconds()))
-	// What went wrong does not matter: the caller has no whole answer.
+	r.Header.Set(platform.Callers().Deadline, fmt.Sprint(requestTimeout.Milliseconds()))
+	// The cause of an error is not needed: the caller has no complete answer.
 	response, err := client.Do(r)
 	if err != nil {
 		return 0, nil, ""
@@ -119,8 +120,8 @@
 	return response.StatusCode, response.Header, string(text)
 }
 
-// isOwn says whether an answer is that of a server to one request: it is signed
-// by the server that it names, and repeats the path and the id.
+// isOwn reports whether an answer was given by a server to this request: it is stamped by the
+// server that it names and repeats the path and the request id.
 func isOwn(header http.Header, text, path, id string) bool {
 	server, rest, _ := strings.Cut(text, " ")
 	return header.Get(platform.Servers().Stamp) == server+"-stamp" &&
--- a/soak/calm.go
+++ b/soak/calm.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// olderTime is how long the store shows older settings, several times as long
-	// as news takes to travel.
-	olderTime = 2500 * time.Millisecond
-	// sheddingTime is how long all servers reject everything, several times as
-	// long as it takes to spend the budget with one extra attempt for each request.
-	sheddingTime = 2 * time.Second
-	// quietTime without a request says that all have heard of a leaving server.
+	// olderSettingsTime is how long the store shows older settings: several times as long as settings
+	// take to spread.
+	olderSettingsTime = 2500 * time.Millisecond
+	// rejectTime is how long all servers reject all requests: several times as long as it
+	// takes to use up the retry budget with one extra attempt per request.
+	rejectTime = 2 * time.Second
+	// quietTime is how long a leaving server must receive no request before all processes are
+	// taken to know that it leaves.
 	quietTime = 2 * time.Second
-	// longWork is how long servers work while a process stops, ten times as long
-	// as else, so that requests are in progress then.
-	longWork = 300 * time.Millisecond
+	// longServiceTime is the service time of the servers while a process stops. It is ten times the
+	// usual one, so that requests are in progress during the stop.
+	longServiceTime = 300 * time.Millisecond
 )
 
-// calm checks what has a time bound, one after the other, under load and without
-// any fault.
+// calm checks the promises that have a time bound, one after the other, under load and without
+// faults.
 func (f *fleet) calm(ctx context.Context) error {
 	f.store.SetMode(standin.PlatformOK)
 	if err := f.awaitReady(ctx); err != nil {
 		return err
 	}
-	for _, check := range []func(context.Context){f.checkSettings, f.showOlder, f.spendBudget, f.checkLeaving} {
+	for _, check := range []func(context.Context){f.checkSettings, f.checkOlderSettings, f.exhaustBudget, f.checkLeaving} {
 		if ctx.Err() == nil {
 			check(ctx)
 		}
@@ -39,18 +40,19 @@
 	return f.checkStop(ctx)
 }
 
-// showOlder has the store show the settings before the newest while processes are cut off from
-// each other; the probes would notice if a process took them. One that could ask others would have
-// the newest again within milliseconds, between two probes.
-func (f *fleet) showOlder(ctx context.Context) {
+// checkOlderSettings makes the store return the settings before the newest while the processes are cut
+// off from each other. The probes detect a process that takes them. The processes have to be cut
+// off because one that can fetch from its peers would have the newest settings again within
+// milliseconds, between two probes.
+func (f *fleet) checkOlderSettings(ctx context.Context) {
 	f.setPeerLinks(linkDropsAll)
 	f.store.Put(platform.ConfigKey, encodeVersion(f.version.Load()-1))
-	sleep(ctx, olderTime)
+	sleep(ctx, olderSettingsTime)
 	f.store.Put(platform.ConfigKey, encodeVersion(f.version.Load()))
 	f.setPeerLinks(linkOpen)
 }
 
-// setPeerLinks has all links between processes behave alike, and resets their connections.
+// setPeerLinks sets the mode of all links between processes and resets their connections.
 func (f *fleet) setPeerLinks(mode linkMode) {
 	for _, n := range f.nodes {
 		n.peerProxy.set(mode)
@@ -58,50 +60,51 @@
 	}
 }
 
-// spendBudget has all servers reject what comes, so that each request could be
-// sent again; the arrivals are judged in the end.
-func (f *fleet) spendBudget(ctx context.Context) {
+// exhaustBudget makes all servers reject all requests, so that each request may be retried.
+// verifyBudget checks the arrivals at the end of the run.
+func (f *fleet) exhaustBudget(ctx context.Context) {
 	f.setServers(standin.StampedShed)
-	sleep(ctx, sheddingTime)
+	sleep(ctx, rejectTime)
 	f.setServers(standin.StampedOK)
 }
 
-// setServers has all servers behave alike.
+// setServers sets the mode of all servers.
 func (f *fleet) setServers(mode standin.StampedMode) {
 	for _, n := range f.nodes {
 		n.server.SetMode(mode)
 	}
 }
 
-// checkSettings publishes settings and waits until all have them in force.
+// checkSettings publishes settings and waits until they are in force in all processes.
 func (f *fleet) checkSettings(ctx context.Context) {
 	f.awaitSettings(ctx, f.publish())
 }
 
-// awaitSettings waits until all processes have settings in force.
+// awaitSettings waits until settings are in force in all processes.
 func (f *fleet) awaitSettings(ctx context.Context, version uint64) {
 	end := time.Now().Add(f.options.Patience)
 	client := newCaller()
 	defer client.CloseIdleConnections()
 	for _, n := range f.nodes {
 		known := func() bool {
-			status, _ := f.ask(client, n.number, versionPath(version), newID())
+			status, _ := f.send(client, n.number, versionPath(version), newID())
 			return status == http.StatusOK
 		}
 		if isOverdue(ctx, time.Until(end), known) {
-			f.record.noteBreach(PromiseSettings, "node %d does not know version %d after %s", n.number, version, f.options.Patience)
+			f.record.addBreach(PromiseSettings, "node %d does not have version %d of the settings in force after %s", n.number, version, f.options.Patience)
 		}
 	}
 }
 
-// checkLeaving takes a server out of the store, by its own word.
+// checkLeaving marks a server's entry in the store as leaving.
 func (f *fleet) checkLeaving(ctx context.Context) {
 	leaver := f.nodes[len(f.nodes)-1]
 	f.putEntry(leaver.number, true)
 	f.awaitLeaving(ctx, leaver)
 }
 
-// awaitLeaving waits until a server that leaves gets nothing. It must get nothing from then on.
+// awaitLeaving waits until a leaving server receives no requests any more, and records the time
+// from which it must not receive any.
 func (f *fleet) awaitLeaving(ctx context.Context, leaver *node) {
 	arrivals, since := leaver.server.Arrivals(), time.Now()
 	quiet := func() bool {
@@ -111,33 +114,33 @@
 		return time.Since(since) >= quietTime
 	}
 	if isOverdue(ctx, f.options.Patience, quiet) {
-		f.record.noteBreach(PromiseLeaving, "server %d still gets requests %s after its entry said that it leaves", leaver.number, f.options.Patience)
+		f.record.addBreach(PromiseLeaving, "server %d still receives requests %s after its entry was marked as leaving", leaver.number, f.options.Patience)
 		return
 	}
-	f.record.noteLeaving(departure{Server: leaver.number, Known: time.Now()})
+	f.record.addLeaving(departure{Server: leaver.number, Known: time.Now()})
 }
 
-// checkStop tells a process to stop while callers use it until it is gone.
+// checkStop sends SIGTERM to a process under load and waits until it has exited.
 func (f *fleet) checkStop(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	n := f.nodes[0]
 	p := n.current()
-	f.lengthenWork(ctx)
+	f.slowServers(ctx)
 	f.stopping.Store(true)
 	p.signal(syscall.SIGTERM)
 	if isOverdue(ctx, f.options.Patience, p.hasEnded) {
-		return Error.New("node %d does not stop in %s", n.number, f.options.Patience)
+		return Error.New("node %d has not exited %s after SIGTERM", n.number, f.options.Patience)
 	}
 	return nil
 }
 
-// lengthenWork has servers take longer, so that every caller has a request in
-// hand when the stop comes.
-func (f *fleet) lengthenWork(ctx context.Context) {
+// slowServers increases the service time of the servers, so that every caller has a request in
+// progress when the stop begins.
+func (f *fleet) slowServers(ctx context.Context) {
 	for _, n := range f.nodes {
-		n.server.SetDelay(longWork)
+		n.server.SetDelay(longServiceTime)
 	}
-	sleep(ctx, longWork)
+	sleep(ctx, longServiceTime)
 }
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// deadlyName is the last part of the paths under whose requests servers end.
+	// deadlyName is the last path segment of the requests that crash servers.
 	deadlyName = "deadly"
-	// serverAway is how long a server is away that ended.
-	serverAway = 700 * time.Millisecond
-	// deadlyPause is the pause between two deadly requests.
+	// serverDowntime is how long a crashed server is down.
+	serverDowntime = 700 * time.Millisecond
+	// deadlyPause is the pause between two requests that crash servers.
 	deadlyPause = 60 * time.Millisecond
-	// deadlyTime is how long they come.
+	// deadlyTime is how long such requests are sent.
 	deadlyTime = 9 * time.Second
 )
 
-// Bounds of the users on a request under which servers end: mostEnds may, and mostLater servers may
-// get it later than endsKnown after that.
+// Bounds that the users require for a request that crashes servers: it may crash maxCrashes
+// servers, and later than quarantineTime after that at most maxLateCrashes more.
 const (
-	mostEnds  = 3
-	mostLater = 3
-	endsKnown = 3 * time.Second
+	maxCrashes     = 3
+	maxLateCrashes = 3
+	quarantineTime = 3 * time.Second
 )
 
-// isDeadly reports whether a server ends under a request.
+// isDeadly reports whether a request crashes its server.
 func isDeadly(r *http.Request) bool { return path.Base(r.URL.Path) == deadlyName }
 
-// checkDeadly has one request of each kind come again and again, to all processes, under which
-// servers end, while processes are killed, paused and cut off.
+// checkDeadly sends a request that crashes servers again and again to all processes, first a
+// repeatable and then a single one, while processes are killed, paused and cut off.
 func (f *fleet) checkDeadly(ctx context.Context, random *rand.Rand) error {
 	if err := f.awaitReady(ctx); err != nil {
 		return err
@@ -44,15 +44,15 @@
 		go f.sendDeadly(sending, prefix+deadlyName)
 		f.disturb(ctx, random, deadlyTime)
 		stop()
-		if later := laterEnds(f.endsSince(began)); len(later) > mostLater {
-			f.record.noteBreach(PromiseQuarantine, "%d servers got %s later than %s after it had ended %d, the last %s after the first end",
-				len(later), prefix+deadlyName, endsKnown, mostEnds, later[len(later)-1].Sub(began))
+		if later := lateCrashes(f.crashesSince(began)); len(later) > maxLateCrashes {
+			f.record.addBreach(PromiseQuarantine, "%d servers received %s later than %s after it had crashed %d, the last one %s after the run of these requests began",
+				len(later), prefix+deadlyName, quarantineTime, maxCrashes, later[len(later)-1].Sub(began))
 		}
 	}
 	return nil
 }
 
-// sendDeadly sends one request to one process after the other.
+// sendDeadly sends the same request to the processes in turn.
 func (f *fleet) sendDeadly(ctx context.Context, path string) {
 	client := newCaller()
 	defer client.CloseIdleConnections()
@@ -62,8 +62,8 @@
 	}
 }
 
-// endsSince returns when servers ended under requests since a time, in order.
-func (f *fleet) endsSince(began time.Time) (ends []time.Time) {
+// crashesSince returns the times, in order, at which requests have crashed servers since began.
+func (f *fleet) crashesSince(began time.Time) (ends []time.Time) {
 	for _, n := range f.nodes {
 		ends = append(ends, n.crasher.Deaths()...)
 	}
@@ -72,11 +72,12 @@
 	return ends
 }
 
-// laterEnds returns the ends that come after the time in which all have to know.
-func laterEnds(ends []time.Time) []time.Time {
-	if len(ends) < mostEnds {
+// lateCrashes returns the crashes after the time at which all processes must have the request in
+// quarantine.
+func lateCrashes(ends []time.Time) []time.Time {
+	if len(ends) < maxCrashes {
 		return nil
 	}
-	known := ends[mostEnds-1].Add(endsKnown)
+	known := ends[maxCrashes-1].Add(quarantineTime)
 	return slices.DeleteFunc(slices.Clone(ends), func(at time.Time) bool { return !at.After(known) })
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// leastGap and mostGap bound the time between the begins of two faults; they
-	// last longer, so that they overlap.
-	leastGap = 50 * time.Millisecond
-	mostGap  = 600 * time.Millisecond
-	// leastFault and mostFault bound how long a fault lasts.
-	leastFault = 200 * time.Millisecond
-	mostFault  = 2500 * time.Millisecond
+	// minFaultGap and maxFaultGap bound the time between the starts of two faults. Faults last
+	// longer than that, so that they overlap.
+	minFaultGap = 50 * time.Millisecond
+	maxFaultGap = 600 * time.Millisecond
+	// minFaultTime and maxFaultTime bound the duration of a fault.
+	minFaultTime = 200 * time.Millisecond
+	maxFaultTime = 2500 * time.Millisecond
 )
 
-// fault is something that goes wrong for a while: begin returns what mends it.
-type fault func(f *fleet, random *rand.Rand) (mend func())
+// fault injects a fault and returns the function that ends it.
+type fault func(f *fleet, random *rand.Rand) (repair func())
 
-// faults are drawn with equal chances; what is listed twice comes twice as often.
+// faults are drawn with equal probability; one that is listed n times is n times as likely.
 var faults = []fault{
-	linkFault, linkFault, linkReset, linkSilence, storeLinkFault, storeLinkSilence, storeFault, storeBehind, storeCompact, storeRestored,
-	serverFault, serverFault, serverFault, pause, killAgain, stopAgain, newSettings, reloadOne,
+	linkFault, linkFault, linkResetFault, linkSilenceFault, storeLinkFault, storeLinkSilenceFault, storeFault, storeOlderSettings, storeCompactFault, storeRestoreFault,
+	serverFault, serverFault, serverFault, pauseFault, killFault, stopFault, settingsFault, reloadFault,
 }
 
-// serverFaults are the ways in which servers fail, where a run does not state them.
+// serverFaults are the failure modes of servers if Options.ServerFaults is empty.
 var serverFaults = []standin.StampedMode{
 	standin.StampedReset, standin.StampedLost, standin.StampedError,
 	standin.StampedShed, standin.StampedHang, standin.StampedCut,
 }
 
-// faults returns the faults of a run.
+// faults returns the faults that a run draws from.
 func (f *fleet) faults() []fault {
 	if len(f.options.ServerFaults) > 0 {
 		return []fault{serverFault}
@@ -44,94 +44,96 @@
 	return faults
 }
 
-// pick returns one of several values.
+// pick returns a random element of from.
 func pick[T any](random *rand.Rand, from ...T) T { return from[random.IntN(len(from))] }
 
-// between returns a random time.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+// randomDuration returns a random duration from lowest (inclusive) to highest (exclusive).
+func randomDuration(random *rand.Rand, lowest, highest time.Duration) time.Duration {
+	return lowest + time.Duration(random.Int64N(int64(highest-lowest)))
 }
 
-// storm lets faults come and go for a while; in the end all are mended.
+// storm injects overlapping faults for a given time and returns once all of them have been
+// ended.
 func (f *fleet) storm(ctx context.Context, random *rand.Rand, length time.Duration) error {
-	var mending sync.WaitGroup
+	var repairs sync.WaitGroup
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; {
-		mend := pick(random, f.faults()...)(f, random)
-		lasts := between(random, leastFault, mostFault)
-		mending.Go(func() {
+		repair := pick(random, f.faults()...)(f, random)
+		lasts := randomDuration(random, minFaultTime, maxFaultTime)
+		repairs.Go(func() {
 			sleep(ctx, lasts)
-			mend()
+			repair()
 		})
-		sleep(ctx, between(random, leastGap, mostGap))
+		sleep(ctx, randomDuration(random, minFaultGap, maxFaultGap))
 	}
-	mending.Wait()
+	repairs.Wait()
 	return nil
 }
 
-// draw returns a random node.
-func (f *fleet) draw(random *rand.Rand) *node { return pick(random, f.nodes...) }
+// randomNode returns a random node.
+func (f *fleet) randomNode(random *rand.Rand) *node { return pick(random, f.nodes...) }
 
-// linkFault delays or loses what goes between a process and its peers.
+// linkFault delays or drops the traffic between a process and its peers.
 func linkFault(f *fleet, random *rand.Rand) func() {
-	n := f.draw(random)
+	n := f.randomNode(random)
 	n.peerProxy.set(pick(random, linkDelayed, linkDropsAll, linkDropsInbound, linkDropsOutbound))
 	return func() { n.peerProxy.set(linkOpen) }
 }
 
-// linkReset resets all connections of peers to a process.
-func linkReset(f *fleet, random *rand.Rand) func() {
-	f.draw(random).peerProxy.resetAll()
+// linkResetFault resets all connections from peers to a process.
+func linkResetFault(f *fleet, random *rand.Rand) func() {
+	f.randomNode(random).peerProxy.resetAll()
 	return func() {}
 }
 
-// linkSilence has the connections of peers to a process go silent; new ones work.
-func linkSilence(f *fleet, random *rand.Rand) func() {
-	p := f.draw(random).peerProxy
+// linkSilenceFault makes the open connections from peers to a process drop everything; new
+// connections work.
+func linkSilenceFault(f *fleet, random *rand.Rand) func() {
+	p := f.randomNode(random).peerProxy
 	p.silence()
 	return p.resetSilent
 }
 
-// storeLinkSilence has the connections of a process to the store go silent; new ones
-// work.
-func storeLinkSilence(f *fleet, random *rand.Rand) func() {
-	p := f.draw(random).storeProxy
+// storeLinkSilenceFault makes the open connections from a process to the store drop everything; new
+// connections work.
+func storeLinkSilenceFault(f *fleet, random *rand.Rand) func() {
+	p := f.randomNode(random).storeProxy
 	p.silence()
 	return p.resetSilent
 }
 
-// storeLinkFault delays or loses what goes between a process and the store.
+// storeLinkFault delays or drops the traffic between a process and the store.
 func storeLinkFault(f *fleet, random *rand.Rand) func() {
-	n := f.draw(random)
+	n := f.randomNode(random)
 	n.storeProxy.set(pick(random, linkDelayed, linkDropsAll, linkDropsOutbound))
 	return func() { n.storeProxy.set(linkOpen) }
 }
 
-// storeFault makes the store bad for all.
+// storeFault makes the store fail, slow down or return stale data for all processes.
 func storeFault(f *fleet, random *rand.Rand) func() {
 	f.store.SetMode(pick(random, standin.PlatformDown, standin.PlatformBusy, standin.PlatformSlow, standin.PlatformStale))
 	return func() { f.store.SetMode(standin.PlatformOK) }
 }
 
-// storeBehind has the store show settings that are older than the newest.
-func storeBehind(f *fleet, _ *rand.Rand) func() {
+// storeOlderSettings makes the store return settings that are older than the newest.
+func storeOlderSettings(f *fleet, _ *rand.Rand) func() {
 	if older := f.version.Load() - 1; older > 0 {
 		f.store.Put(platform.ConfigKey, encodeVersion(older))
 	}
 	return func() { f.store.Put(platform.ConfigKey, encodeVersion(f.version.Load())) }
 }
 
-// storeCompact has the store forget its history.
-func storeCompact(f *fleet, _ *rand.Rand) func() {
+// storeCompactFault makes the store compact its history.
+func storeCompactFault(f *fleet, _ *rand.Rand) func() {
 	f.store.Compact()
 	return func() {}
 }
 
-// storeRestored has the store come back from a copy that is taken now; servers and operators
-// write again what they wrote.
-func storeRestored(f *fleet, _ *rand.Rand) func() {
-	taken := f.store.Copy()
+// storeRestoreFault takes a copy of the store and restores it later; then servers and operators
+// write their entries again.
+func storeRestoreFault(f *fleet, _ *rand.Rand) func() {
+	snapshot := f.store.Copy()
 	return func() {
-		f.store.Restore(taken)
+		f.store.Restore(snapshot)
 		f.store.Put(platform.ConfigKey, encodeVersion(f.version.Load()))
 		for _, n := range f.nodes {
 			f.putEntry(n.number, false)
@@ -139,9 +141,9 @@
 	}
 }
 
-// serverFault makes a server sick.
+// serverFault puts a server into a failure mode.
 func serverFault(f *fleet, random *rand.Rand) func() {
-	n := f.draw(random)
+	n := f.randomNode(random)
 	modes := f.options.ServerFaults
 	if len(modes) == 0 {
 		modes = serverFaults
@@ -150,29 +152,30 @@
 	return func() { n.server.SetMode(standin.StampedOK) }
 }
 
-// pause suspends a process for a while; it goes on with an old view.
-func pause(f *fleet, random *rand.Rand) func() {
-	n := f.draw(random)
+// pauseFault suspends a process, which then continues with outdated state.
+func pauseFault(f *fleet, random *rand.Rand) func() {
+	n := f.randomNode(random)
 	p := n.current()
 	p.signal(syscall.SIGSTOP)
 	return func() { p.signal(syscall.SIGCONT) }
 }
 
-// killAgain kills a process; it starts again.
-func killAgain(f *fleet, random *rand.Rand) func() {
-	return f.endAgain(f.draw(random), syscall.SIGKILL)
+// killFault kills a process and starts it again.
+func killFault(f *fleet, random *rand.Rand) func() {
+	return f.endAndRestart(f.randomNode(random), syscall.SIGKILL)
 }
 
-// stopAgain tells a process to stop; it starts again.
-func stopAgain(f *fleet, random *rand.Rand) func() {
-	return f.endAgain(f.draw(random), syscall.SIGTERM)
+// stopFault sends SIGTERM to a process and starts it again once it has exited.
+func stopFault(f *fleet, random *rand.Rand) func() {
+	return f.endAndRestart(f.randomNode(random), syscall.SIGTERM)
 }
 
-// endAgain sends a signal that ends a process. Mending waits for the end, which
-// a paused process reaches only by force, and starts it again.
-func (f *fleet) endAgain(n *node, how syscall.Signal) func() {
+// endAndRestart sends a signal that ends a process. The returned function waits for its exit and
+// starts it again; a process that is still there after the timeout, for example because it is
+// paused, is killed.
+func (f *fleet) endAndRestart(n *node, sig syscall.Signal) func() {
 	p := n.current()
-	p.signal(how)
+	p.signal(sig)
 	return func() {
 		if !p.endsWithin(f.options.Patience) {
 			p.kill()
@@ -181,14 +184,14 @@
 	}
 }
 
-// newSettings publishes a new version.
-func newSettings(f *fleet, _ *rand.Rand) func() {
+// settingsFault publishes a new version of the settings.
+func settingsFault(f *fleet, _ *rand.Rand) func() {
 	f.publish()
 	return func() {}
 }
 
-// reloadOne tells a process that its settings file has changed.
-func reloadOne(f *fleet, random *rand.Rand) func() {
-	f.reload(f.draw(random))
+// reloadFault makes a process reload its settings file.
+func reloadFault(f *fleet, random *rand.Rand) func() {
+	f.reload(f.randomNode(random))
 	return func() {}
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxNodes is how many nodes a fleet's addresses suffice for.
+	// maxNodes is the number of nodes for which the addresses of a fleet suffice.
 	maxNodes = 50
-	// settleTime is how long after the last request something may still run late.
+	// settleTime is how long after the last request a server may still begin to run one.
 	settleTime = 1500 * time.Millisecond
 )
 
-// Ports on each node's addresses.
+// Ports on the addresses of each node.
 const (
 	portCallers = 8000
 	portPeers   = 8001
@@ -32,8 +32,10 @@
 	portClaim   = 7001
 )
 
-// Last parts of a node's loopback addresses: its own, the one under which others
-// reach it and its server, and the one under which it reaches the store.
+// Last bytes of the loopback addresses of the first node: the address of the process itself, the
+// address of its server and of the proxy in front of its peer port, and the address of the proxy
+// through which it reaches the store. claimBase is that of the listener that reserves the
+// network.
 const (
 	ownBase   = 1
 	linkBase  = 100
@@ -41,41 +43,42 @@
 	claimBase = 254
 )
 
-// Loopback addresses of fleets: 127.192.1.x and up.
+// Loopback networks of fleets: from 127.192.1.x.
 const (
-	leastNetwork = 192
+	firstNetwork = 192
 	maxNetworks  = 60 * 250
-	// networkStride spreads where processes begin to search.
+	// networkStride spreads the networks at which operating system processes start their search.
 	networkStride = 97
 )
 
-// fleets numbers the fleets of this process.
+// fleets counts the fleets of this operating system process.
 var fleets atomic.Int32
 
-// fleet is everything that one run starts.
+// fleet holds all that one run starts.
 type fleet struct {
 	options Options
-	// network is what all addresses of the fleet begin with; claim keeps other fleets
-	// off it.
+	// network is the common prefix of all addresses of the fleet. The listener claim reserves
+	// it.
 	network string
 	claim   net.Listener
 	// dir holds the settings files and the logs of the processes.
 	dir string
-	// store is the platform's store, served by storeWeb.
+	// store is the stand-in for the store of the platform; storeWeb serves it.
 	store    *standin.Platform
 	storeWeb *httptest.Server
 	nodes    []*node
 	record   *record
-	// version is that of the newest settings.
+	// version is the version of the newest settings.
 	version atomic.Uint64
-	// stopping says that a process was told to stop in the calm.
+	// stopping is set as soon as a process has received SIGTERM in the calm or in the part with
+	// stops.
 	stopping atomic.Bool
 }
 
-// newFleet starts the store of a fleet; start brings up the rest.
+// newFleet starts the store of a fleet; start starts the rest.
 func newFleet(o Options) (*fleet, error) {
 	if o.Nodes < 2 || o.Nodes > maxNodes {
-		return nil, Error.New("%d nodes: from 2 to %d can run", o.Nodes, maxNodes)
+		return nil, Error.New("%d nodes requested; a run needs from 2 to %d", o.Nodes, maxNodes)
 	}
 	network, claim, err := claimNetwork()
 	if err != nil {
@@ -90,28 +93,28 @@
 	return f, nil
 }
 
-// claimNetwork returns the begin of loopback addresses that no other fleet uses,
-// neither of this process nor of another, and the listener that keeps it so. Fleets
-// of one process begin their search at different places, and so do processes.
+// claimNetwork returns the prefix of loopback addresses that no other fleet on the machine uses,
+// and the listener that reserves them. Fleets of one operating system process start their search
+// at different networks, as do different operating system processes.
 func claimNetwork() (network string, claim net.Listener, err error) {
 	first := os.Getpid()*networkStride + int(fleets.Add(1))
 	for i := range maxNetworks {
 		at := (first + i) % maxNetworks
-		network = fmt.Sprintf("127.%d.%d", leastNetwork+at/250, 1+at%250)
+		network = fmt.Sprintf("127.%d.%d", firstNetwork+at/250, 1+at%250)
 		claim, err = net.Listen("tcp", fmt.Sprintf("%s.%d:%d", network, claimBase, portClaim))
 		if err == nil {
 			return network, claim, nil
 		}
 	}
-	return "", nil, Error.New("no loopback addresses are free: %w", err)
+	return "", nil, Error.New("no free loopback network for the fleet: %w", err)
 }
 
-// address returns one of a node's addresses by the last part of the first node's.
+// address returns an address of node i; base is the last byte of this address of the first node.
 func (f *fleet) address(base, i, port int) string {
 	return fmt.Sprintf("%s.%d:%d", f.network, base+i, port)
 }
 
-// start brings everything up and waits until all processes are ready.
+// start starts the nodes and waits until all processes are ready.
 func (f *fleet) start(ctx context.Context) error {
 	f.publish()
 	for i := range f.options.Nodes {
@@ -130,13 +133,13 @@
 	return f.awaitReady(ctx)
 }
 
-// settle lets servers finish what callers gave up on.
+// settle waits until the servers have finished requests that their callers gave up on.
 func (f *fleet) settle() {
 	f.setServers(standin.StampedOK)
 	time.Sleep(settleTime)
 }
 
-// runs counts how often servers began each request until now.
+// runs returns how often servers have begun to run each request, by request id.
 func (f *fleet) runs() map[string]int {
 	runs := map[string]int{}
 	for _, n := range f.nodes {
@@ -147,17 +150,17 @@
 	return runs
 }
 
-// close ends all that was started. The logs are kept where that is asked for.
+// close ends all that was started. It removes the logs unless keepLogs is set.
 func (f *fleet) close(keepLogs bool) {
 	for _, n := range f.nodes {
 		n.close()
 	}
 	f.storeWeb.CloseClientConnections()
 	f.storeWeb.Close()
-	// Nothing is left to be done about a listener that does not close.
+	// An error of closing the listener is ignored: nothing depends on it any more.
 	_ = f.claim.Close()
 	if !keepLogs {
-		// What is left of it harms nothing.
+		// An error is ignored: files that remain do no harm.
 		_ = os.RemoveAll(f.dir)
 	}
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestClaimNetwork: fleets that run at once have different loopback addresses, also
-// where their search begins at the same place, as in two processes it may.
+// TestClaimNetwork checks that concurrent fleets get different loopback networks, even if their
+// searches start at the same network, as those of two operating system processes may.
 func TestClaimNetwork(t *testing.T) {
 	taken := map[string]bool{}
 	for range 5 {
--- a/soak/node.go
+++ b/soak/node.go
@@ -15,35 +15,36 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// serverWork is how long a server works on a request.
-const serverWork = 30 * time.Millisecond
+// serviceTime is how long a server takes to run a request.
+const serviceTime = 30 * time.Millisecond
 
-// node is one process with its server and its links.
+// node is one process with its server and the proxies of its links.
 type node struct {
 	number int
 	server *standin.Stamped
-	// crasher is the server's process.
+	// crasher stands in for the operating system process of the server.
 	crasher *standin.Crasher
-	// peerProxy is before the process's peer port, storeProxy before the store.
+	// peerProxy is in front of the peer port of the process, storeProxy in front of the store.
 	peerProxy, storeProxy *proxy
-	// life counts the starts of the process.
-	life atomic.Int64
+	// starts counts the starts of the process.
+	starts atomic.Int64
 
 	mu      sync.Mutex
 	process *process
 }
 
-// current returns the process that runs now or ran last.
+// current returns the process that runs or was the last to run.
 func (n *node) current() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// newNode starts the server and the proxies of a node, or nothing.
+// newNode starts the server and the proxies of a node. If one of them does not start, it closes
+// those that did.
 func (f *fleet) newNode(i int) (*node, error) {
 	n := &node{number: i, server: standin.NewStamped(serverName(i), platform.Servers())}
-	n.server.SetDelay(serverWork)
+	n.server.SetDelay(serviceTime)
 	err := f.serve(n)
 	if err == nil {
 		err = f.startProxies(n)
@@ -55,9 +56,9 @@
 	return n, nil
 }
 
-// serve has a node's server listen.
+// serve starts the listener of a node's server.
 func (f *fleet) serve(n *node) error {
-	crasher, err := standin.NewCrasher(f.address(linkBase, n.number, portServer), f.watched(n.number, n.server), isDeadly, serverAway)
+	crasher, err := standin.NewCrasher(f.address(linkBase, n.number, portServer), f.recordArrivals(n.number, n.server), isDeadly, serverDowntime)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// startProxies starts the proxies before a node's peer port and the store.
+// startProxies starts the proxies in front of a node's peer port and of the store.
 func (f *fleet) startProxies(n *node) (err error) {
 	peers, store := f.address(ownBase, n.number, portPeers), strings.TrimPrefix(f.storeWeb.URL, "http://")
 	if n.peerProxy, err = newProxy(f.address(linkBase, n.number, portPeers), peers); err != nil {
@@ -75,20 +76,20 @@
 	return err
 }
 
-// serverName returns the name under which a server stands in the store.
+// serverName returns the name of a server in the store.
 func serverName(i int) string { return fmt.Sprint("server-", i) }
 
-// watched writes down what comes to a server before the server sees it.
-func (f *fleet) watched(i int, server http.Handler) http.Handler {
+// recordArrivals records each request before passing it on to the server.
+func (f *fleet) recordArrivals(i int, server http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.record.noteHeaders(r.Header.Get(platform.Servers().RequestID), r.Header)
-		f.record.noteArrival(arrival{ID: r.Header.Get(platform.Servers().RequestID), Server: i, At: time.Now()})
+		f.record.addHeaderBreaches(r.Header.Get(platform.Servers().RequestID), r.Header)
+		f.record.addArrival(arrival{ID: r.Header.Get(platform.Servers().RequestID), Server: i, At: time.Now()})
 		server.ServeHTTP(w, r)
 	})
 }
 
-// relaunch starts a node's process again where it is still the one that ended:
-// faults overlap, and two may have ended the same one.
+// relaunch starts a node's process again unless another one has been started since ended exited:
+// faults overlap, and two of them may have ended the same process.
 func (f *fleet) relaunch(n *node, ended *process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,13 +97,13 @@
 		return
 	}
 	if err := f.launch(n); err != nil {
-		f.record.noteFailure(err)
+		f.record.addFailure(err)
 	}
 }
 
-// reload tells a node's process that its settings file has changed. Until a process
-// catches signals this one would end it, as any program, and nobody would start it
-// again: one that is not ready is left alone.
+// reload makes a node's process reload its settings file. Until a process has installed its
+// handler, SIGHUP would end it, and nothing would start it again, so processes that are not
+// ready are skipped.
 func (f *fleet) reload(n *node) {
 	if p := n.current(); f.isReady(n) {
 		p.signal(syscall.SIGHUP)
@@ -114,7 +115,7 @@
 	return filepath.Join(f.dir, fmt.Sprintf("node-%d.yaml", n.number))
 }
 
-// launch starts a node's process. The node's lock is held, or nobody else knows
+// launch starts a node's process. The caller holds n.mu, unless no other goroutine has access to
 // the node yet.
 func (f *fleet) launch(n *node) error {
 	file := f.settingsFile(n)
@@ -126,11 +127,11 @@
 		return err
 	}
 	n.process = p
-	n.life.Add(1)
+	n.starts.Add(1)
 	return nil
 }
 
-// close ends a node's process, its server and its proxies, as far as they started.
+// close ends a node's process, server and proxies, as far as they were started.
 func (n *node) close() {
 	if p := n.current(); p != nil {
 		p.kill()
@@ -141,7 +142,7 @@
 		}
 	}
 	if n.crasher != nil {
-		// What is still in progress there interests nobody any more.
+		// Requests still in progress there are of no interest any more.
 		n.crasher.Close()
 	}
 }
--- a/soak/node_test.go
+++ b/soak/node_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNodeThatFailsToStart: a node that fails half-way through its start leaves
-// nothing that listens.
+// TestNodeThatFailsToStart checks that a node that fails partway through its start leaves no
+// open listener.
 func TestNodeThatFailsToStart(t *testing.T) {
 	tests := map[string]struct {
-		// taken is the address that somebody else has.
+		// base and port state the address that is in use already.
 		base, port int
 	}{
 		"its server's address is taken":        {linkBase, portServer},
--- a/soak/process.go
+++ b/soak/process.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// process is one running slatewindd. It is only ever signalled through its own
-// handle, and only until it has ended.
+// process is one running slatewindd. Signals are sent only through its own handle and only until
+// it has exited, so that a reused process id is never signalled.
 type process struct {
 	command *exec.Cmd
 	log     *os.File
@@ -19,7 +19,7 @@
 	ended chan struct{}
 }
 
-// startProcess starts a program whose output is added to a log file.
+// startProcess starts a program and appends its output to a log file.
 func startProcess(program, settings, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -35,9 +35,9 @@
 	return p, nil
 }
 
-// wait notes the end of the process.
+// wait records the exit of the process.
 func (p *process) wait() {
-	// How it ended does not matter here: it is stopped and killed on purpose.
+	// The exit status is ignored here: the run stops and kills processes on purpose.
 	_ = p.command.Wait()
 	p.mu.Lock()
 	p.over = true
@@ -46,30 +46,31 @@
 	close(p.ended)
 }
 
-// signal sends a signal unless the process has ended.
+// signal sends a signal unless the process has exited.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.over {
-		// It may end right now; then nobody needs the signal any more.
+		// The process may exit at this moment; then the signal is not needed.
 		_ = p.command.Process.Signal(s)
 	}
 }
 
-// endsWithin reports whether the process is gone after a time at most.
-func (p *process) endsWithin(patience time.Duration) bool {
+// endsWithin waits until the process has exited, at most for the timeout, and reports whether it
+// has.
+func (p *process) endsWithin(timeout time.Duration) bool {
 	select {
 	case <-p.ended:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// end says how the process ended, once it has.
+// end returns the exit state of the process. It may be called only after the exit.
 func (p *process) end() string { return p.command.ProcessState.String() }
 
-// hasEnded reports whether the process is gone.
+// hasEnded reports whether the process has exited.
 func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
@@ -79,7 +80,7 @@
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL to the process and waits for its exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -15,13 +15,14 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// idle is a program that reacts to no signal in any way of its own.
+// idle is a program that installs no signal handlers.
 const idle = "#!/bin/sh\nwhile :; do sleep 0.1; done\n"
 
 // newIdleFleet returns a fleet with one node whose process does nothing.
 func newIdleFleet(t *testing.T) *fleet {
 	t.Helper()
-	// Programs that nohup starts ignore the signal, and so would those that they start.
+	// Under nohup this process ignores SIGHUP, and its child processes would inherit that; a
+	// signal handler is not inherited.
 	hangUps := make(chan os.Signal, 1)
 	signal.Notify(hangUps, syscall.SIGHUP)
 	t.Cleanup(func() { signal.Stop(hangUps) })
@@ -37,9 +38,10 @@
 	return f
 }
 
-// TestReloadSparesStart: a process that is not ready yet may not catch the signal to
-// read its settings anew, which would end it with nobody to start it again.
-func TestReloadSparesStart(t *testing.T) {
+// TestReloadSkipsProcessNotReady checks that SIGHUP is not sent to a process that is not ready:
+// it may not have installed its handler yet, and the signal would end it with nothing to start
+// it again.
+func TestReloadSkipsProcessNotReady(t *testing.T) {
 	f := newIdleFleet(t)
 	p := f.nodes[0].current()
 	f.reload(f.nodes[0])
@@ -58,13 +60,13 @@
 	assert.Assert(t, p.endsWithin(f.options.Patience))
 }
 
-// TestAwaitReadyTellsHowAProcessEnded: a process that has ended will not become ready;
-// there is no wait for it, and the error says how it ended.
-func TestAwaitReadyTellsHowAProcessEnded(t *testing.T) {
+// TestAwaitReadyReportsProcessExit checks that awaitReady does not wait for a process that has
+// exited, and that its error states how the process exited.
+func TestAwaitReadyReportsProcessExit(t *testing.T) {
 	f := newIdleFleet(t)
 	f.nodes[0].current().kill()
 	began := time.Now()
 	err := f.awaitReady(t.Context())
 	assert.ErrorContains(t, err, "node 0 has ended (signal: killed)")
-	assert.Assert(t, time.Since(began) < readyPatience, time.Since(began))
+	assert.Assert(t, time.Since(began) < readyTimeout, time.Since(began))
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,62 +9,64 @@
 	"time"
 )
 
-// linkMode is how a link behaves.
+// linkMode is the behaviour of a link.
 type linkMode string
 
 // Modes of a link.
 const (
 	linkOpen linkMode = "open"
-	// linkDelayed holds each piece back for linkDelay.
+	// linkDelayed delays each chunk by linkDelay.
 	linkDelayed linkMode = "delayed"
-	// linkDropsAll loses everything without a sign to either side.
+	// linkDropsAll drops everything without an error on either side.
 	linkDropsAll linkMode = "drops all"
-	// linkDropsInbound loses what the side that connected sends,
-	// linkDropsOutbound what it is sent.
+	// linkDropsInbound drops what the connecting side sends, linkDropsOutbound what is sent to
+	// it.
 	linkDropsInbound  linkMode = "drops inbound"
 	linkDropsOutbound linkMode = "drops outbound"
 )
 
 const (
-	// linkDelay is how late a delayed link brings each piece.
+	// linkDelay is the delay of each chunk on a delayed link.
 	linkDelay = 60 * time.Millisecond
-	// pieceBytes is how much a link carries at once.
-	pieceBytes = 16 << 10
-	// connectTime bounds a connect to a process on the same machine.
-	connectTime = time.Second
+	// bufferBytes is the largest chunk that a link forwards at once.
+	bufferBytes = 16 << 10
+	// connectTimeout bounds connecting to a process on the same machine.
+	connectTimeout = time.Second
 )
 
-// proxy passes connections on to one address and behaves as a bad link does, so
-// that faults of the network need no rights on the machine.
+// proxy forwards connections to one address and simulates a faulty link. It needs no privileges
+// on the machine, unlike faults injected into the network stack.
 type proxy struct {
 	listener net.Listener
 	to       string
 
 	mu    sync.Mutex
 	mode  linkMode
-	conns map[*carried]bool
+	conns map[*proxiedConn]bool
 }
 
-// carried is one connection that a proxy carries.
-type carried struct {
-	// from is the side that connected.
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
+	// from is the connecting side.
 	from, to net.Conn
-	// silent says that it loses everything for good, whatever the link does.
+	// silent makes the connection drop everything until it is closed, whatever the mode of the
+	// link.
 	silent atomic.Bool
-	// lost is when a silent connection first lost something, and ended when the side
-	// that connected ended it, in nanoseconds; both are zero until then.
+	// lost is when a silent connection first dropped data, and ended when the connecting side
+	// closed it, both in Unix nanoseconds; they are 0 until then.
 	lost, ended atomic.Int64
 }
 
-// end ends a connection so that both sides get a reset.
-func (c *carried) end() {
+// end closes a connection with a reset to both sides.
+func (c *proxiedConn) end() {
 	reset(c.from)
 	reset(c.to)
 }
 
-// silence is how long a silent connection was kept after it first lost something, or
-// has been kept until now; it is zero where it has lost nothing.
-func (c *carried) silence() (kept time.Duration, ended bool) {
+// silentFor returns how long a silent connection was kept open after it first dropped data, or
+// has been until now, and whether the connecting side has closed it. The time is 0 if the
+// connection has dropped nothing.
+func (c *proxiedConn) silentFor() (kept time.Duration, ended bool) {
 	lost, end := c.lost.Load(), c.ended.Load()
 	switch {
 	case lost == 0:
@@ -75,13 +77,13 @@
 	return time.Duration(end - lost), true
 }
 
-// newProxy listens at an address for another one.
+// newProxy starts a proxy that listens at one address and forwards to another.
 func newProxy(at, to string) (*proxy, error) {
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &proxy{listener: listener, to: to, mode: linkOpen, conns: map[*carried]bool{}}
+	p := &proxy{listener: listener, to: to, mode: linkOpen, conns: map[*proxiedConn]bool{}}
 	go p.serve()
 	return p, nil
 }
@@ -93,20 +95,20 @@
 		if err != nil {
 			return
 		}
-		go p.carry(from)
+		go p.forward(from)
 	}
 }
 
-// carry takes one connection to where it is meant to go.
-func (p *proxy) carry(from net.Conn) {
-	to, err := net.DialTimeout("tcp", p.to, connectTime)
+// forward forwards one connection until both directions have ended.
+func (p *proxy) forward(from net.Conn) {
+	to, err := net.DialTimeout("tcp", p.to, connectTimeout)
 	if err != nil {
 		reset(from)
 		return
 	}
-	c := &carried{from: from, to: to}
-	p.hold(c)
-	defer p.drop(c)
+	c := &proxiedConn{from: from, to: to}
+	p.track(c)
+	defer p.untrack(c)
 	var both sync.WaitGroup
 	both.Go(func() {
 		p.copy(c, to, from, linkDropsInbound)
@@ -116,15 +118,15 @@
 	both.Wait()
 }
 
-// copy carries what comes one way, unless the link loses it. A piece that was
-// lost breaks the stream, so that nothing after it may be carried.
-func (p *proxy) copy(c *carried, to, from net.Conn, losing linkMode) {
-	piece := make([]byte, pieceBytes)
+// copy forwards one direction of a connection, dropping data as the mode of the link requires.
+// Once a chunk has been dropped, the stream is broken and nothing after it may be forwarded.
+func (p *proxy) copy(c *proxiedConn, to, from net.Conn, losing linkMode) {
+	buffer := make([]byte, bufferBytes)
 	broken := false
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(buffer)
 		if err != nil {
-			// The other side hears of an end in order, not of a lost one.
+			// An end of the stream is passed on only if nothing was dropped, as on a real link.
 			if !broken && !c.silent.Load() {
 				closeWrite(to, err)
 			}
@@ -142,13 +144,13 @@
 		if mode == linkDelayed {
 			time.Sleep(linkDelay)
 		}
-		if _, err := to.Write(piece[:n]); err != nil {
+		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// closeWrite passes the end of a stream on: in order, or by a reset.
+// closeWrite passes on the end of a stream: a half-close after an EOF, otherwise a reset.
 func closeWrite(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && errors.Is(err, io.EOF) {
@@ -158,7 +160,7 @@
 	reset(to)
 }
 
-// reset ends a connection so that its peer gets a reset.
+// reset closes a connection with a reset to its peer.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -166,15 +168,15 @@
 	_ = conn.Close()
 }
 
-// current returns how the link behaves now.
+// current returns the mode of the link.
 func (p *proxy) current() linkMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// set changes how the link behaves. When it opens again, connections that lost
-// something are reset, as a real one is after a cut.
+// set changes the mode of the link. If the previous mode dropped data, it resets all connections
+// that are not silent, as those of a real link are after a partition.
 func (p *proxy) set(mode linkMode) {
 	p.mu.Lock()
 	lossy := p.mode != linkOpen && p.mode != linkDelayed
@@ -185,13 +187,13 @@
 	}
 }
 
-// resetAll resets all connections but the silent ones.
+// resetAll resets all connections except the silent ones.
 func (p *proxy) resetAll() { p.end(false) }
 
 // resetSilent resets the silent connections.
 func (p *proxy) resetSilent() { p.end(true) }
 
-// end ends the connections that are silent, or those that are not.
+// end resets either the silent connections or all others.
 func (p *proxy) end(silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,9 +204,9 @@
 	}
 }
 
-// silence has all connections that are open lose everything for good, without a sign
-// to either side, and returns them; new ones work.
-func (p *proxy) silence() (silent []*carried) {
+// silence makes all open connections drop everything until they are closed, without an error on
+// either side, and returns them; new connections work.
+func (p *proxy) silence() (silent []*proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -215,15 +217,15 @@
 	return silent
 }
 
-// hold notes a connection that is open.
-func (p *proxy) hold(c *carried) {
+// track adds an open connection.
+func (p *proxy) track(c *proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = true
 }
 
-// drop closes a connection and forgets it.
-func (p *proxy) drop(c *carried) {
+// untrack closes a connection and removes it.
+func (p *proxy) untrack(c *proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -231,7 +233,7 @@
 	_ = c.to.Close()
 }
 
-// close ends the proxy and all its connections.
+// close stops the proxy and resets all its connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.resetAll()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestProxySilence: a silent connection brings nothing for good, also when the link is
-// mended, and does not end; a new one works; and its end by the one who made it shows.
+// TestProxySilence checks that a silent connection drops everything, even after the link is open
+// again, and is not closed by the proxy; that new connections work; and that closing by the
+// connecting side is noticed.
 func TestProxySilence(t *testing.T) {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -35,13 +36,13 @@
 	p.set(linkDropsAll)
 	p.set(linkOpen)
 	assert.Assert(t, !answers(t, first))
-	kept, ended := silent[0].silence()
+	kept, ended := silent[0].silentFor()
 	assert.Assert(t, kept > 0 && !ended)
 	assert.Assert(t, answers(t, connect(t, p)))
 
 	assert.NilError(t, first.Close())
 	assert.Assert(t, await(t.Context(), 5*time.Second, func() bool {
-		_, ended := silent[0].silence()
+		_, ended := silent[0].silentFor()
 		return ended
 	}))
 }
@@ -55,7 +56,7 @@
 	return conn
 }
 
-// answers says whether what is sent comes back; a connection that was ended fails.
+// answers reports whether sent data is echoed; the test fails if the connection was closed.
 func answers(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	_, err := conn.Write([]byte("x"))
--- a/soak/restores.go
+++ b/soak/restores.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	// mostAway is how long the store may be away before it comes back.
-	mostAway = time.Second
-	// writtenAgain is how long after that servers and operators may take to write again.
-	writtenAgain = 2 * time.Second
-	// contactTime is how long after trouble in the store no time bound holds.
-	contactTime = 3 * time.Second
+	// maxStoreDowntime bounds how long the store may be down before a restore.
+	maxStoreDowntime = time.Second
+	// rewriteTime is how long after a restore servers and operators may take to write their
+	// entries again.
+	rewriteTime = 2 * time.Second
+	// recoveryTime is how long after a failure of the store no time bound applies.
+	recoveryTime = 3 * time.Second
 )
 
-// leaving is when a server leaves, by the time at which the store comes back.
-type leaving string
+// leaveTime is when a server leaves, relative to the restore of the store.
+type leaveTime string
 
 const (
-	leavesBefore leaving = "before"
-	// endsBefore: its entry is gone too.
-	endsBefore  leaving = "ends before"
-	leavesAfter leaving = "after"
-	leavesNever leaving = "never"
+	leavesBefore leaveTime = "before"
+	// removedBefore: its entry is removed as well.
+	removedBefore leaveTime = "ends before"
+	leavesAfter   leaveTime = "after"
+	leavesNever   leaveTime = "never"
 )
 
-// restoring is one return of the store from a copy.
-type restoring struct {
-	leaving leaving
-	// lost is how many changes to other things the store lacks.
+// restoreCase describes one restore of the store from a copy.
+type restoreCase struct {
+	leaving leaveTime
+	// lost is the number of changes to unrelated keys that the copy lacks.
 	lost int
-	// noticed says that the store is away for a moment before.
-	noticed bool
-	// operatorFirst says that new settings are the first that the store is told after it.
+	// downBefore makes the store go down for a moment before the restore.
+	downBefore bool
+	// operatorFirst makes new settings the first write after the restore.
 	operatorFirst bool
 }
 
-// restorings are all ways in which the store comes back in one run.
-var restorings = []restoring{
-	{leaving: leavesBefore, lost: 200, noticed: true},
+// restoreCases are the restores of one run, in order.
+var restoreCases = []restoreCase{
+	{leaving: leavesBefore, lost: 200, downBefore: true},
 	{leaving: leavesAfter, lost: 200},
 	{leaving: leavesNever, lost: 2, operatorFirst: true},
-	{leaving: endsBefore, lost: 2, noticed: true},
+	{leaving: removedBefore, lost: 2, downBefore: true},
 }
 
-// checkRestores has the store come back from copies while processes are paused and cut off.
+// checkRestores restores the store from older copies while processes are paused and cut off.
 func (f *fleet) checkRestores(ctx context.Context, random *rand.Rand) error {
 	if err := f.awaitReady(ctx); err != nil {
 		return err
 	}
 	leaver := len(f.nodes)
-	for _, r := range restorings {
+	for _, r := range restoreCases {
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -67,28 +68,29 @@
 	return nil
 }
 
-// checkRestore has the store come back from a copy once. The newest settings have to be in force,
-// and a server that leaves has to get nothing. Servers from the leaver on have left or leave.
-func (f *fleet) checkRestore(ctx context.Context, random *rand.Rand, r restoring, leaver int) {
-	taken := f.store.Copy()
+// checkRestore restores the store from a copy once. The newest settings have to come into force,
+// and a leaving server must receive no requests. Servers with the number leaver and above have
+// left or are leaving.
+func (f *fleet) checkRestore(ctx context.Context, random *rand.Rand, r restoreCase, leaver int) {
+	snapshot := f.store.Copy()
 	f.awaitSettings(ctx, f.publish())
 	for range r.lost {
 		f.store.Put("other", nil)
 	}
-	if r.leaving == leavesBefore || r.leaving == endsBefore {
+	if r.leaving == leavesBefore || r.leaving == removedBefore {
 		f.leave(ctx, leaver)
 	}
-	if r.leaving == endsBefore {
+	if r.leaving == removedBefore {
 		f.endEntry(leaver)
-		sleep(ctx, contactTime)
+		sleep(ctx, recoveryTime)
 	}
 	var disturbing sync.WaitGroup
 	seed := random.Uint64()
 	disturbing.Go(func() { f.disturbRestore(ctx, seed) })
-	f.restore(ctx, random, r, taken)
-	f.writeAgain(ctx, random, r, leaver)
+	f.restore(ctx, random, r, snapshot)
+	f.rewriteEntries(ctx, random, r, leaver)
 	disturbing.Wait()
-	sleep(ctx, contactTime)
+	sleep(ctx, recoveryTime)
 	if r.leaving == leavesAfter {
 		f.leave(ctx, leaver)
 	}
@@ -98,17 +100,17 @@
 	}
 }
 
-// leave has a server say that it leaves and waits until it gets nothing.
+// leave marks a server as leaving and waits until it receives no requests.
 func (f *fleet) leave(ctx context.Context, server int) {
 	f.putEntry(server, true)
 	f.awaitLeaving(ctx, f.nodes[server])
 }
 
-// restore has the store come back from a copy.
-func (f *fleet) restore(ctx context.Context, random *rand.Rand, r restoring, from standin.Copy) {
-	if r.noticed {
+// restore restores the store from a copy.
+func (f *fleet) restore(ctx context.Context, random *rand.Rand, r restoreCase, from standin.Copy) {
+	if r.downBefore {
 		f.store.SetMode(standin.PlatformDown)
-		sleep(ctx, between(random, 0, mostAway))
+		sleep(ctx, randomDuration(random, 0, maxStoreDowntime))
 	}
 	f.store.Restore(from)
 	if r.operatorFirst {
@@ -120,19 +122,20 @@
 	f.store.SetMode(standin.PlatformOK)
 }
 
-// disturbRestore has one process be paused, or be cut off, for a while. None is killed: one that
-// starts knows only what the copy says.
+// disturbRestore pauses a process or cuts it off for a while. It kills none, since a process
+// that starts knows only the content of the copy.
 func (f *fleet) disturbRestore(ctx context.Context, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
-	mend := pick(random, pause, linkFault, storeLinkFault, storeLinkSilence)(f, random)
-	sleep(ctx, between(random, leastFault, mostFault))
-	mend()
+	repair := pick(random, pauseFault, linkFault, storeLinkFault, storeLinkSilenceFault)(f, random)
+	sleep(ctx, randomDuration(random, minFaultTime, maxFaultTime))
+	repair()
 }
 
-// writeAgain has the operator and all servers that have not ended write again what they wrote.
-func (f *fleet) writeAgain(ctx context.Context, random *rand.Rand, r restoring, leaver int) {
-	end := time.Now().Add(writtenAgain)
-	sleep(ctx, between(random, 0, writtenAgain))
+// rewriteEntries writes the settings, and the entries of all servers that have not ended, once
+// more, as operators and servers do after a restore.
+func (f *fleet) rewriteEntries(ctx context.Context, random *rand.Rand, r restoreCase, leaver int) {
+	end := time.Now().Add(rewriteTime)
+	sleep(ctx, randomDuration(random, 0, rewriteTime))
 	if !r.operatorFirst {
 		f.store.Put(platform.ConfigKey, encodeVersion(f.version.Load()))
 	}
@@ -145,7 +148,7 @@
 	sleep(ctx, time.Until(end))
 }
 
-// endEntry takes the entry of a server out of the store.
+// endEntry removes the entry of a server from the store.
 func (f *fleet) endEntry(server int) {
 	f.store.Delete(platform.ServersPrefix + serverName(server))
 }
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -12,58 +12,57 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// service is the only service of a fleet, in one data centre; host is what its
-// callers ask for.
+// service is the only service of a fleet, in one data centre; host is the host that its callers
+// request.
 const (
 	service    = "till"
 	dataCentre = "dc"
 	host       = "till.example"
 )
 
-// Paths that are there in every version of the settings.
+// Path prefixes of the routes that every version of the settings has.
 const (
 	singlePath     = "/pay/"
 	repeatablePath = "/look/"
 )
 
 const (
-	// serverSlots is how many requests a server takes at once.
+	// serverSlots is the number of requests that a server takes at once.
 	serverSlots = 4
-	// attempts is how often a request may be sent in all.
+	// attempts is the maximum number of attempts per request, including the first.
 	attempts = 2
-	// objective is the time in which routes should answer; they have to within
-	// callerTime.
+	// objective is the latency objective of the routes; their timeout is requestTimeout.
 	objective = 400 * time.Millisecond
 )
 
-// putEntry writes a server's entry as the server itself does.
+// putEntry writes the entry of a server to the store, as the server itself does.
 func (f *fleet) putEntry(i int, leaving bool) {
 	value, err := platform.EncodeServer(slatewind.ServerEntry{
 		Service: service, Address: f.address(linkBase, i, portServer),
 		DataCentre: dataCentre, Slots: serverSlots, Leaving: leaving,
 	})
 	if err != nil {
-		panic(err) // Only a fault of this package does that.
+		panic(err) // Only a bug in this package causes an error.
 	}
 	f.store.Put(platform.ServersPrefix+serverName(i), value)
 }
 
-// publish puts new settings in force and returns their version. Each version has
-// a route of its own besides those of all before it.
+// publish publishes new settings and returns their version. Each version adds a route of its own
+// to those of all earlier versions.
 func (f *fleet) publish() uint64 {
 	version := f.version.Add(1)
 	f.store.Put(platform.ConfigKey, encodeVersion(version))
 	return version
 }
 
-// encodeVersion returns the settings of a version as the store holds them.
+// encodeVersion returns the settings of a version in the encoding of the store.
 func encodeVersion(version uint64) []byte { return encode(settingsOf(version), nil) }
 
-// encode returns settings as the store holds them; keys are those of the workspaces.
+// encode returns settings in the encoding of the store; keys holds the keys of each workspace.
 func encode(settings slatewind.PublishedSettings, keys map[string][]string) []byte {
 	value, err := platform.EncodeConfig(settings, keys)
 	if err != nil {
-		panic(err) // Only a fault of this package does that.
+		panic(err) // Only a bug in this package causes an error.
 	}
 	return value
 }
@@ -82,7 +81,7 @@
 	}}
 }
 
-// versionPath returns the path that a version of the settings adds.
+// versionPath returns the path prefix of the route that a version of the settings adds.
 func versionPath(version uint64) string { return fmt.Sprintf("/version-%d/", version) }
 
 // newRoute returns a route to the fleet's service.
@@ -90,11 +89,11 @@
 	return &slatewindv1.Route{
 		Name: strings.Trim(prefix, "/"), Host: host, PathPrefix: prefix,
 		Kind: string(kind), Service: service, Attempts: attempts,
-		Timeout: durationpb.New(callerTime), Objective: durationpb.New(objective),
+		Timeout: durationpb.New(requestTimeout), Objective: durationpb.New(objective),
 	}
 }
 
-// processSettings returns the settings file of a node's process.
+// processSettings returns the content of the settings file of a node's process.
 func (f *fleet) processSettings(i int) string {
 	return fmt.Sprintf(`vm: vm-%d
 data_centre: %s
--- a/soak/silence.go
+++ b/soak/silence.go
@@ -6,57 +6,60 @@
 )
 
 const (
-	// silentTime is how soon after its first loss a silent connection must be ended by
-	// the side that made it. It is meant to take below a second, and the machine may be
-	// busy.
-	silentTime = 3 * time.Second
-	// silentWork is how long servers work then, so that requests are in progress.
-	silentWork = 100 * time.Millisecond
+	// silenceTimeout is how soon after the first loss the process that opened a silent
+	// connection must have closed it. This should take less than a second; the rest allows for a
+	// busy machine.
+	silenceTimeout = 3 * time.Second
+	// silenceServiceTime is the service time of the servers in this part, so that requests are in
+	// progress.
+	silenceServiceTime = 100 * time.Millisecond
 )
 
-// peerProxy and storeProxy return a proxy of a node.
+// peerProxy and storeProxy return the proxies of a node.
 func peerProxy(n *node) *proxy  { return n.peerProxy }
 func storeProxy(n *node) *proxy { return n.storeProxy }
 
-// checkSilence has all connections of one kind go silent for good under load, while new
-// ones work. It waits until those who made them have had time to use them, and have
-// ended those that lost something.
+// checkSilence makes all open connections through one kind of proxy drop everything under load,
+// while new connections work. It waits until the processes that opened them have had time to use
+// them and have closed those that dropped data.
 func (f *fleet) checkSilence(ctx context.Context, promise Promise, proxyOf func(*node) *proxy) error {
 	if err := f.awaitReady(ctx); err != nil {
 		return err
 	}
-	var silent []*carried
+	var silent []*proxiedConn
 	for _, n := range f.nodes {
-		n.server.SetDelay(silentWork)
+		n.server.SetDelay(silenceServiceTime)
 		silent = append(silent, proxyOf(n).silence()...)
 	}
-	sleep(ctx, silentTime)
+	sleep(ctx, silenceTimeout)
 	await(ctx, f.options.Patience, func() bool {
-		// How long it takes in all matters to readers only.
-		tooLong := f.options.Until == promise && longestSilence(silent) > silentTime
-		return tooLong || keptSilent(silent) == 0
+		// A run that ends at the first breach need not wait any longer; other runs measure the
+		// total time for the report.
+		tooLong := f.options.Until == promise && longestSilence(silent) > silenceTimeout
+		return tooLong || countKept(silent) == 0
 	})
-	if longest := longestSilence(silent); longest > silentTime {
-		f.record.noteBreach(promise, "of %d connections that went silent one was kept for %s, and %d are kept still",
-			len(silent), longest.Round(time.Millisecond), keptSilent(silent))
+	if longest := longestSilence(silent); longest > silenceTimeout {
+		f.record.addBreach(promise, "of %d silent connections, one was kept open for %s after its first loss; %d are still open",
+			len(silent), longest.Round(time.Millisecond), countKept(silent))
 	}
 	return nil
 }
 
-// keptSilent counts the connections that lost something and are still kept.
-func keptSilent(silent []*carried) (kept int) {
+// countKept returns the number of connections that dropped data and are still open.
+func countKept(silent []*proxiedConn) (kept int) {
 	for _, c := range silent {
-		if lost, ended := c.silence(); lost > 0 && !ended {
+		if lost, ended := c.silentFor(); lost > 0 && !ended {
 			kept++
 		}
 	}
 	return kept
 }
 
-// longestSilence returns how long a connection was kept at most after it lost something.
-func longestSilence(silent []*carried) (longest time.Duration) {
+// longestSilence returns the longest time for which a connection was kept open after it dropped
+// data.
+func longestSilence(silent []*proxiedConn) (longest time.Duration) {
 	for _, c := range silent {
-		lost, _ := c.silence()
+		lost, _ := c.silentFor()
 		longest = max(longest, lost)
 	}
 	return longest
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,20 +1,21 @@
-// Package soak runs real slatewindd processes against stand-ins and breaks things
-// around them, to find orders of events that no single test thinks of.
+// Package soak runs real slatewindd processes against stand-ins for the store and the servers,
+// and injects faults in random order, to find sequences of events that no single test covers.
 //
-// A run is drawn from a seed: a small fleet of processes, each with its server
-// and with a proxy before its peer port and one before the store; callers that
-// keep their connections; and two phases. In the storm, faults come in series
-// and overlap: links are delayed, reset, silenced or cut one way, processes are
-// paused, killed and told to stop, servers fail in part, the store is away or
-// stale or comes back from a copy, settings change. In the calm after it, settings
-// change, the store shows older ones, all servers reject what comes, a server
-// leaves and a process is told to stop, one after the other and each under load.
+// A run is determined by a seed, except for the timing of the processes. It starts a small
+// fleet: processes, each with its server, a proxy in front of its peer port and a proxy in front
+// of the store; and callers that keep their connections open. The two main parts are the storm
+// and the calm. In the storm, faults overlap: links are delayed, reset, silenced or cut in one
+// direction; processes are paused, killed and stopped; servers fail partially; the store is
+// down, returns stale data or is restored from a copy; settings change. In the calm after it,
+// settings change, the store returns older ones, all servers reject requests, a server leaves
+// and a process is stopped, one after the other and each under load. Further parts each
+// concentrate on one kind of fault.
 //
-// What callers and servers saw is written down as it happens, and judged in the
-// end (judge.go): what must hold always is judged over the whole
-// run, what has a time bound only in the calm. The system keeps nothing on disks,
-// so no fault concerns storage; clocks are those of one machine and do not
-// misbehave here.
+// The observations of callers and servers are recorded as they are made and verified at the end
+// (verify.go): properties that must always hold over the whole run, properties with a time bound
+// only in parts without faults that would excuse a delay. The system stores nothing on disk, so
+// no fault concerns storage; all clocks are that of one machine, so clock faults are not
+// covered.
 package soak
 
 import (
@@ -34,67 +35,68 @@
 // Part is a part of a run.
 type Part string
 
-// Parts of a run, in the order in which they are played.
+// Parts of a run, in the order in which they run.
 const (
-	// PartStorm: faults come and go.
+	// PartStorm: random, overlapping faults.
 	PartStorm Part = "storm"
-	// PartCalm: what has a time bound is checked, without any fault.
+	// PartCalm: the promises with a time bound are checked, without faults.
 	PartCalm Part = "calm"
-	// PartSilentPeers and PartSilentStore: connections between processes, or to the
-	// store, go silent for good.
+	// PartSilentPeers and PartSilentStore: connections between processes, or to the store, drop
+	// everything until they are closed.
 	PartSilentPeers Part = "silent peers"
 	PartSilentStore Part = "silent store"
-	// PartWorkspaces: a workspace floods, its limit is lowered and its key taken away.
+	// PartWorkspaces: a workspace exceeds its limit, its limit is lowered and its key is
+	// revoked.
 	PartWorkspaces Part = "workspaces"
-	// PartStops: processes stop in a series that overlaps, while another one hangs.
+	// PartStops: processes stop, with their stops overlapping, while another one is suspended.
 	PartStops Part = "stops"
-	// PartRestores: the store comes back from an older copy.
+	// PartRestores: the store is restored from an older copy.
 	PartRestores Part = "restores"
-	// PartDeadly: servers end under one request, which comes again and again.
+	// PartDeadly: a request that crashes servers is sent again and again.
 	PartDeadly Part = "deadly"
 )
 
-// Options say what a run is like.
+// Options configure a run.
 type Options struct {
 	// Program is the path of slatewindd.
 	Program string
-	// Seed draws everything that is drawn.
+	// Seed determines all random choices.
 	Seed uint64
-	// Nodes is how many processes run, each with a server.
+	// Nodes is the number of processes, each with a server.
 	Nodes int
-	// Parts are played.
+	// Parts are the parts to run.
 	Parts []Part
-	// Storm is how long faults come.
+	// Storm is the duration of the storm.
 	Storm time.Duration
-	// ServerFaults are the ways in which servers fail in a storm of nothing else; where
-	// there are none, faults of all kinds come.
+	// ServerFaults, if not empty, limits the storm to failures of servers in these modes;
+	// otherwise it has faults of all kinds.
 	ServerFaults []standin.StampedMode
-	// Patience is how long a change may take to show in the calm. It is far above
-	// the bounds that the users state, since the machine may be busy.
+	// Timeout is how long a change may take to show in parts with time bounds. It is far above
+	// the bounds that the users require, since the machine may be busy.
 	Patience time.Duration
-	// Until ends the run as soon as this promise is broken; without one, a run plays
-	// its parts to the end.
+	// StopOn ends the run as soon as this promise is broken; if it is empty, all parts run to
+	// the end.
 	Until Promise
 }
 
-// Defaults of a run.
+// Defaults of Options.
 const (
 	DefaultNodes    = 5
 	DefaultStorm    = 8 * time.Second
 	DefaultPatience = 15 * time.Second
 )
 
-// Report is what one run found.
+// Report is the result of one run.
 type Report struct {
 	// Breaches are the broken promises.
 	Breaches []Breach
-	// Logs is the folder with the processes' logs, kept where a promise was broken
-	// or the run failed, and empty otherwise.
+	// Logs is the folder with the logs of the processes. They are kept if a promise was broken
+	// or the run failed; otherwise Logs is empty.
 	Logs string
 }
 
-// Run plays one seed. The error says that the run itself failed, for example that
-// a process did not become ready.
+// Run runs the parts for one seed. An error means that the run itself failed, for example
+// because a process did not become ready.
 func Run(ctx context.Context, o Options) (report Report, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,21 +117,22 @@
 	random := rand.New(rand.NewPCG(o.Seed, ^o.Seed))
 	go f.watchStalls(ctx)
 	callers := f.startCallers(ctx, random)
-	playing, enough := context.WithCancel(ctx)
-	go f.watch(playing, enough)
-	err = f.play(playing, random)
-	enough()
+	partsCtx, cancelParts := context.WithCancel(ctx)
+	go f.stopOnBreach(partsCtx, cancelParts)
+	err = f.run(partsCtx, random)
+	cancelParts()
 	callers.stop()
 	f.settle()
-	report.Breaches = f.record.judge(f.runs)
+	report.Breaches = f.record.verify(f.runs)
 	return report, errs.Combine(err, f.record.failed())
 }
 
-// play plays the parts of the run. A part that is ended early has nothing to say.
-func (f *fleet) play(ctx context.Context, random *rand.Rand) error {
+// run runs the parts that the options select. An error of a part that was ended early is
+// dropped.
+func (f *fleet) run(ctx context.Context, random *rand.Rand) error {
 	parts := []struct {
 		name Part
-		play func() error
+		run  func() error
 	}{
 		{PartStorm, func() error { return f.storm(ctx, random, f.options.Storm) }},
 		{PartCalm, func() error { return f.calm(ctx) }},
@@ -141,23 +144,23 @@
 		{PartDeadly, func() error { return f.checkDeadly(ctx, random) }},
 	}
 	for _, part := range parts {
-		if !f.plays(part.name) {
+		if !f.includes(part.name) {
 			continue
 		}
-		if err := part.play(); err != nil || ctx.Err() != nil {
-			return whileOn(ctx, err)
+		if err := part.run(); err != nil || ctx.Err() != nil {
+			return unlessEnded(ctx, err)
 		}
 	}
 	return nil
 }
 
-// whileOn returns an error of a part of the run, unless the part was ended early.
-func whileOn(ctx context.Context, err error) error {
+// unlessEnded returns the error of a part, or nil if the part was ended early.
+func unlessEnded(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// plays reports whether a part belongs to the run.
-func (f *fleet) plays(part Part) bool { return slices.Contains(f.options.Parts, part) }
+// includes reports whether the run includes a part.
+func (f *fleet) includes(part Part) bool { return slices.Contains(f.options.Parts, part) }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,21 +14,21 @@
 	"slatewind.example/slatewind/soak"
 )
 
-// Flags of the soak, as make soak sets them.
+// Flags of the soak, set by make soak.
 var (
 	seeds     = flag.Int("soak.seeds", 1, "how many seeds to run")
 	firstSeed = flag.Uint64("soak.seed", 1, "the first seed")
-	whole     = flag.Bool("soak.whole", false, "play all phases to the end with the broken builds too")
+	whole     = flag.Bool("soak.whole", false, "run all parts to the end with the broken builds too")
 	nodes     = flag.Int("soak.nodes", soak.DefaultNodes, "how many processes to run")
 )
 
-// regressions are the seeds that ever failed, with the cause in a comment.
+// regressions are the seeds that have failed before, each with the cause in a comment.
 var regressions = []uint64{}
 
-// building lets one build go on at a time, for the sake of the runs beside it.
+// building serialises builds, so that they take less processor time from the runs in progress.
 var building sync.Mutex
 
-// build builds the daemon; overlay replaces sources where it is not empty.
+// build builds the daemon; a non-empty overlay replaces sources.
 func build(t *testing.T, overlay string) string {
 	t.Helper()
 	building.Lock()
@@ -50,52 +50,52 @@
 	}
 }
 
-// TestSoak runs the seeds that ever failed and those that the flags ask for. No
-// promise may be broken.
+// TestSoak runs the seeds that have failed before and those that the flags select, through the
+// storm and the calm. No promise may be broken.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartStorm, soak.PartCalm)
 }
 
-// TestStops has processes stop while callers keep to them, others stop too, one hangs
-// and the signals to stop and to read the settings anew come again.
+// TestStops stops processes, with their stops overlapping, while callers keep using them,
+// another process is suspended, and the signals to stop and to reload the settings are repeated.
 func TestStops(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartStops)
 }
 
-// TestWorkspaces has a workspace flood while processes fail, lowers its limit and takes its key
-// away.
+// TestWorkspaces makes a workspace exceed its limit while processes fail, lowers its limit and
+// revokes its key.
 func TestWorkspaces(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartWorkspaces)
 }
 
-// TestRestores has the store come back from older copies while processes are paused and cut off.
+// TestRestores restores the store from older copies while processes are paused and cut off.
 func TestRestores(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartRestores)
 }
 
-// TestDeadly has servers end under one request while processes fail.
+// TestDeadly sends a request that crashes servers while processes fail.
 func TestDeadly(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartDeadly)
 }
 
-// TestSilentPeers has connections between processes go silent for good.
+// TestSilentPeers makes connections between processes drop everything until they are closed.
 func TestSilentPeers(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartSilentPeers)
 }
 
-// TestSilentStore has connections to the store go silent for good.
+// TestSilentStore makes connections to the store drop everything until they are closed.
 func TestSilentStore(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, soak.PartSilentStore)
 }
 
-// runSeeds plays parts of a run for each seed.
+// runSeeds runs parts of a run for each seed.
 func runSeeds(t *testing.T, parts ...soak.Part) {
 	t.Helper()
 	program := build(t, "")
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// stallPoll is how often a run looks whether time goes on for it.
-	stallPoll = 100 * time.Millisecond
-	// stallTime without a look says that the machine stood still: callers may then give
-	// up by themselves, and stops outlast their grace time.
-	stallTime = 2 * time.Second
+	// stallInterval is the interval between two checks for a stall.
+	stallInterval = 100 * time.Millisecond
+	// stallThreshold is the time without a check from which the machine counts as stalled:
+	// callers may then time out by themselves, and stops may exceed their grace time.
+	stallThreshold = 2 * time.Second
 )
 
-// watchStalls notes as an error of the run that the machine stood still: the run fails
-// as it would without, and says why.
+// watchStalls records a stall of the machine as an error of the run. The stall does not excuse
+// breaches; the error states a likely cause.
 func (f *fleet) watchStalls(ctx context.Context) {
-	for last := time.Now(); ctx.Err() == nil; sleep(ctx, stallPoll) {
+	for last := time.Now(); ctx.Err() == nil; sleep(ctx, stallInterval) {
 		now := time.Now()
-		if stall := now.Sub(last); stall > stallTime {
-			f.record.noteFailure(Error.New("the machine stood still for %s", stall.Round(time.Millisecond)))
+		if stall := now.Sub(last); stall > stallThreshold {
+			f.record.addFailure(Error.New("machine stalled for %s", stall.Round(time.Millisecond)))
 		}
 		last = now
 	}
--- /dev/null
+++ b/soak/stoponbreach.go
@@ -0,0 +1,25 @@
+package soak
+
+import (
+	"context"
+	"time"
+)
+
+// verifyInterval is the pause between two verifications during a run.
+const verifyInterval = 250 * time.Millisecond
+
+// stopOnBreach ends the parts of a run as soon as the promise Options.StopOn is broken. The run
+// is verified again at the end, when all requests have ended.
+func (f *fleet) stopOnBreach(partsCtx context.Context, cancelParts context.CancelFunc) {
+	if f.options.Until == "" {
+		return
+	}
+	for partsCtx.Err() == nil {
+		for _, b := range f.record.verify(f.runs) {
+			if b.Promise == f.options.Until {
+				cancelParts()
+			}
+		}
+		time.Sleep(verifyInterval)
+	}
+}
--- a/soak/judge.go
+++ b/soak/verify.go
@@ -8,67 +8,68 @@
 	"slatewind.example/slatewind"
 )
 
-// Promise names what must hold.
+// Promise names a property of the system that a run checks.
 type Promise string
 
-// Promises, each with the check that stands for it.
+// Promises that a run checks.
 const (
 	// PromiseOnce: a single request runs at most once.
 	PromiseOnce Promise = "at most once"
-	// PromiseNotRun: a single request that was refused as not run never ran.
+	// PromiseNotRun: a single request that was refused as not run has not run.
 	PromiseNotRun Promise = "true refusal"
-	// PromiseOwnAnswer: a success is the whole answer of a server to that very
+	// PromiseOwnAnswer: a response with status 200 is the complete answer of a server to this
 	// request.
 	PromiseOwnAnswer Promise = "own whole answer"
-	// PromiseNoCut: a planned stop of a process cuts off no request that a server
-	// has begun.
+	// PromiseNoCut: a planned stop of a process cuts off no request that a server has begun to
+	// run.
 	PromiseNoCut Promise = "no cut by a stop"
-	// PromiseEnds: a process that is told to stop ends by itself in its grace time.
+	// PromiseEnds: a process that receives SIGTERM exits by itself within its grace time.
 	PromiseEnds Promise = "a stop ends in time"
-	// PromiseFinish: a stopping process takes no late request that it then gives up
-	// while a server works on it.
+	// PromiseFinish: a stopping process accepts no late request that it then gives up while a
+	// server runs it.
 	PromiseFinish Promise = "no late request given up by a stop"
-	// PromiseLeaving: a server that leaves gets no new work once all have heard.
+	// PromiseLeaving: a leaving server receives no new requests once all processes know that it
+	// leaves.
 	PromiseLeaving Promise = "no work for a leaving server"
-	// PromiseSilentPeer and PromiseSilentStore: a connection to another process, or to
-	// the store, that goes silent is ended by the process that uses it.
+	// PromiseSilentPeer and PromiseSilentStore: a connection to another process, or to the
+	// store, that drops everything without an error is closed by the process that opened it.
 	PromiseSilentPeer  Promise = "silence of a process noticed"
 	PromiseSilentStore Promise = "silence of the store noticed"
-	// PromiseSettings: settings are in force everywhere in time.
+	// PromiseSettings: published settings are in force in all processes within the time bound.
 	PromiseSettings Promise = "settings in force"
-	// PromiseForward: settings never go back within one life of a process.
+	// PromiseForward: a process never returns to older settings between its start and its exit.
 	PromiseForward Promise = "settings never go back"
-	// PromiseKey: a server is told the workspace of a key, never the key, and runs nothing
-	// for a key that was taken away.
+	// PromiseKey: a server receives the workspace of a key, never the key itself, and runs no
+	// request whose key has been revoked.
 	PromiseKey Promise = "the workspace of the key"
-	// PromiseLimit: the fleet keeps a workspace's limit.
+	// PromiseLimit: the fleet as a whole enforces the rate limit of a workspace.
 	PromiseLimit Promise = "limit of a workspace"
-	// PromiseQuarantine: a request under which servers end is kept from the others.
+	// PromiseQuarantine: a request that crashes servers is kept from the remaining servers.
 	PromiseQuarantine Promise = "quarantine of a request"
-	// PromiseBudget: the fleet keeps the budget of extra arrivals.
+	// PromiseBudget: the fleet as a whole keeps to the budget of extra arrivals.
 	PromiseBudget Promise = "budget of extra arrivals"
 )
 
-// Breach is a broken promise with what shows it.
+// Breach is a broken promise with the observation that shows it.
 type Breach struct {
 	Promise Promise
 	What    string
 }
 
-// Bounds of the budget that the fleet's settings state, as the users count it:
-// in any window, arrivals beyond the first of each request are at most a ratio of
-// the requests and a slack.
+// Bounds of the retry budget in the settings of the fleet, counted as the users count it: in any
+// window, the arrivals beyond the first of each request are at most budgetRatio times the number
+// of requests plus budgetSlack.
 const (
 	budgetRatio  = 0.1
 	budgetSlack  = 10.0
 	budgetWindow = 10 * time.Second
 )
 
-// judgeRequest checks what one caller got against how often its request ran.
-func judgeRequest(s sentRequest, runs int) (breaches []Breach) {
+// verifyRequest checks the response that a caller received against how often its request ran.
+func verifyRequest(s sentRequest, runs int) (breaches []Breach) {
 	add := func(promise Promise) {
-		what := fmt.Sprintf("%s request %s at node %d: status %d, ran %d times", s.Kind, s.ID, s.Node, s.Status, runs)
-		breaches = append(breaches, Breach{promise, what})
+		detail := fmt.Sprintf("%s request %s to node %d: status %d, ran %d times", s.Kind, s.ID, s.Node, s.Status, runs)
+		breaches = append(breaches, Breach{promise, detail})
 	}
 	single := s.Kind == slatewind.KindSingle
 	if single && runs > 1 {
@@ -86,31 +87,32 @@
 	return breaches
 }
 
-// judgeLeaving checks that servers got nothing once all had heard that they leave.
-func judgeLeaving(leaving []departure, arrivals []arrival) (breaches []Breach) {
+// verifyLeaving checks that leaving servers received no requests once all processes knew that
+// they leave.
+func verifyLeaving(leaving []departure, arrivals []arrival) (breaches []Breach) {
 	for _, l := range leaving {
 		for _, a := range arrivals {
 			if a.Server == l.Server && a.At.After(l.Known) {
-				what := fmt.Sprintf("server %d got request %s %s after all had heard", l.Server, a.ID, a.At.Sub(l.Known))
-				breaches = append(breaches, Breach{PromiseLeaving, what})
+				detail := fmt.Sprintf("server %d received request %s %s after all processes knew that it leaves", l.Server, a.ID, a.At.Sub(l.Known))
+				breaches = append(breaches, Breach{PromiseLeaving, detail})
 			}
 		}
 	}
 	return breaches
 }
 
-// judgeBudget checks every window that ends with an extra arrival; the first one
-// that breaks the bound is enough. The requests of a window are those of it or of
-// the one before, whichever are more, as the users count them.
-func judgeBudget(sent map[string]sentRequest, arrivals []arrival) []Breach {
+// verifyBudget checks every window that ends with an extra arrival and returns the first breach
+// only. The number of requests of a window is that of the window itself or of the one before,
+// whichever is greater, as the users count them.
+func verifyBudget(sent map[string]sentRequest, arrivals []arrival) []Breach {
 	extras := extraArrivals(arrivals)
 	for _, end := range extras {
 		start := end.Add(-budgetWindow)
 		requests := max(sentWithin(sent, start, end), sentWithin(sent, start.Add(-budgetWindow), start))
 		spent := countWithin(extras, start, end)
 		if allowed := budgetRatio*float64(requests) + budgetSlack; float64(spent) > allowed {
-			what := fmt.Sprintf("%d extra arrivals in %s, %.0f allowed for %d requests", spent, budgetWindow, allowed, requests)
-			return []Breach{{PromiseBudget, what}}
+			detail := fmt.Sprintf("%d extra arrivals in %s, %.0f allowed for %d requests", spent, budgetWindow, allowed, requests)
+			return []Breach{{PromiseBudget, detail}}
 		}
 	}
 	return nil
@@ -128,7 +130,7 @@
 	return extras
 }
 
-// within says whether a time is in a span, which holds its end and not its start.
+// within reports whether a time is in the span from start (exclusive) to end (inclusive).
 func within(at, start, end time.Time) bool { return at.After(start) && !at.After(end) }
 
 // countWithin counts the times in a span.
--- a/soak/judge_test.go
+++ b/soak/verify_test.go
@@ -11,9 +11,9 @@
 	"slatewind.example/slatewind"
 )
 
-// TestJudgeRequest states which promise is broken by what a caller got and how
-// often its request ran.
-func TestJudgeRequest(t *testing.T) {
+// TestVerifyRequest checks which promises are broken by what a caller received and how often its
+// request ran.
+func TestVerifyRequest(t *testing.T) {
 	single, repeatable := slatewind.KindSingle, slatewind.KindRepeatable
 	tests := map[string]struct {
 		sent sentRequest
@@ -21,8 +21,8 @@
 		want []Promise
 	}{
 		"served":                    {sent: sentRequest{Kind: single, Status: http.StatusOK, Own: true}, runs: 1},
-		"served in silence":         {sent: sentRequest{Kind: single, Status: http.StatusOK, Own: true}, want: []Promise{PromiseOwnAnswer}},
-		"another's answer":          {sent: sentRequest{Kind: single, Status: http.StatusOK}, runs: 1, want: []Promise{PromiseOwnAnswer}},
+		"served but not run":        {sent: sentRequest{Kind: single, Status: http.StatusOK, Own: true}, want: []Promise{PromiseOwnAnswer}},
+		"answer to another request": {sent: sentRequest{Kind: single, Status: http.StatusOK}, runs: 1, want: []Promise{PromiseOwnAnswer}},
 		"run twice":                 {sent: sentRequest{Kind: single, Status: http.StatusOK, Own: true}, runs: 2, want: []Promise{PromiseOnce}},
 		"repeated as it may be":     {sent: sentRequest{Kind: repeatable, Status: http.StatusOK, Own: true}, runs: 2},
 		"refused":                   {sent: sentRequest{Kind: single, Status: http.StatusServiceUnavailable}},
@@ -36,7 +36,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var broken []Promise
-			for _, b := range judgeRequest(test.sent, test.runs) {
+			for _, b := range verifyRequest(test.sent, test.runs) {
 				broken = append(broken, b.Promise)
 			}
 			assert.DeepEqual(t, broken, test.want)
@@ -44,17 +44,18 @@
 	}
 }
 
-// TestJudgeLeaving: only what comes to a leaver after all have heard counts.
-func TestJudgeLeaving(t *testing.T) {
+// TestVerifyLeaving checks that only arrivals at a leaving server after all processes know that
+// it leaves count.
+func TestVerifyLeaving(t *testing.T) {
 	known := time.Unix(1000, 0)
 	leaving := []departure{{Server: 2, Known: known}}
 	before, after := known.Add(-time.Second), known.Add(time.Second)
-	assert.Equal(t, len(judgeLeaving(leaving, []arrival{{Server: 2, At: before}, {Server: 1, At: after}})), 0)
-	assert.Equal(t, len(judgeLeaving(leaving, []arrival{{Server: 2, At: before}, {Server: 2, At: after}})), 1)
+	assert.Equal(t, len(verifyLeaving(leaving, []arrival{{Server: 2, At: before}, {Server: 1, At: after}})), 0)
+	assert.Equal(t, len(verifyLeaving(leaving, []arrival{{Server: 2, At: before}, {Server: 2, At: after}})), 1)
 }
 
-// TestJudgeBudget states how many extra arrivals a fleet may have in a window.
-func TestJudgeBudget(t *testing.T) {
+// TestVerifyBudget checks how many extra arrivals a fleet may have in a window.
+func TestVerifyBudget(t *testing.T) {
 	tests := map[string]struct {
 		requests, extras int
 		// apart is the time between two extra arrivals.
@@ -79,7 +80,7 @@
 			for i := range test.extras {
 				arrivals = append(arrivals, arrival{ID: "again", At: start.Add(time.Duration(i+1) * test.apart)})
 			}
-			assert.Equal(t, len(judgeBudget(sent, arrivals)) > 0, test.broken)
+			assert.Equal(t, len(verifyBudget(sent, arrivals)) > 0, test.broken)
 		})
 	}
 }
--- a/soak/judgestops_test.go
+++ b/soak/verifystops_test.go
@@ -10,14 +10,14 @@
 	"slatewind.example/slatewind"
 )
 
-// TestJudgeStop states what breaks a promise around a planned stop.
-func TestJudgeStop(t *testing.T) {
+// TestVerifyStop checks what breaks a promise during a planned stop.
+func TestVerifyStop(t *testing.T) {
 	asked := time.Unix(1000, 0)
-	const early, late = time.Second, lateTime + time.Second
+	const early, late = time.Second, lateThreshold + time.Second
 	tests := map[string]struct {
-		// took is how long the process took to end; zero says that it had to be killed.
+		// took is how long the process took to exit; 0 means that it had to be killed.
 		took time.Duration
-		// node got a request so long after the word to stop, which ended with status.
+		// node received a request this long after SIGTERM, which ended with status.
 		node   int
 		after  time.Duration
 		kind   slatewind.Kind
@@ -32,8 +32,8 @@
 		"served late":             {took: early, after: late, status: http.StatusOK, runs: 1},
 		"given up early":          {took: early, after: early, status: http.StatusBadGateway, runs: 1},
 		"given up late":           {took: early, after: late, status: http.StatusBadGateway, runs: 1, want: []Promise{PromiseFinish}},
-		"cut late":                {took: early, after: late, runs: 1, want: []Promise{PromiseFinish}},
-		"its time over":           {took: early, after: late, status: http.StatusGatewayTimeout, runs: 1},
+		"cut off late":            {took: early, after: late, runs: 1, want: []Promise{PromiseFinish}},
+		"timed out":               {took: early, after: late, status: http.StatusGatewayTimeout, runs: 1},
 		"not begun":               {took: early, after: late, status: http.StatusBadGateway},
 		"sent before the stop":    {took: early, after: -early, status: http.StatusBadGateway, runs: 1},
 		"with a hung process":     {took: early, after: late, status: http.StatusBadGateway, runs: 1, hung: true},
@@ -52,7 +52,7 @@
 			}
 			r := sentRequest{ID: "id", Kind: test.kind, Node: test.node, At: asked.Add(test.after), Status: test.status}
 			var broken []Promise
-			for _, b := range judgeStop(s, map[string]sentRequest{"id": r}, map[string]int{"id": test.runs}, map[string]bool{"id": test.hung}) {
+			for _, b := range verifyStop(s, map[string]sentRequest{"id": r}, map[string]int{"id": test.runs}, map[string]bool{"id": test.hung}) {
 				broken = append(broken, b.Promise)
 			}
 			assert.DeepEqual(t, broken, test.want)
@@ -60,13 +60,14 @@
 	}
 }
 
-// TestHungRequests: requests that were with a hung process or came to it then.
+// TestHungRequests checks that exactly the requests that were in progress at a suspended process
+// or arrived during the suspension are returned.
 func TestHungRequests(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	hangs := []hang{{Node: 3, From: begin, To: begin.Add(hangTime)}}
 	hung := hungRequests(hangs, []arrival{
-		{ID: "before", Server: 3, At: begin.Add(-2 * longWork)},
-		{ID: "in hand", Server: 3, At: begin.Add(-longWork / 2)},
+		{ID: "before", Server: 3, At: begin.Add(-2 * longServiceTime)},
+		{ID: "in hand", Server: 3, At: begin.Add(-longServiceTime / 2)},
 		{ID: "meanwhile", Server: 3, At: begin.Add(time.Second)},
 		{ID: "elsewhere", Server: 2, At: begin.Add(time.Second)},
 		{ID: "after", Server: 3, At: begin.Add(2 * hangTime)},
--- a/soak/wait.go
+++ b/soak/wait.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// pollInterval is how often await looks.
+	// pollInterval is the interval at which await calls done.
 	pollInterval = 20 * time.Millisecond
-	// readyPatience is how long a process may take to be ready. Nothing is judged by it:
-	// where processors are scarce, a start with its calls of others takes long.
-	readyPatience = time.Minute
-	// readyTime bounds one question whether a process is ready.
-	readyTime = time.Second
+	// readyTimeout is how long a process may take to become ready. No promise depends on it:
+	// starting takes long when processors are scarce, since a process calls others while it
+	// starts.
+	readyTimeout = time.Minute
+	// readyRequestTimeout bounds one readiness request.
+	readyRequestTimeout = time.Second
 )
 
-// awaitReady waits until every process says that it is ready. One that has ended will
-// not be.
+// awaitReady waits until every process is ready. It fails at once if a process has exited.
 func (f *fleet) awaitReady(ctx context.Context) error {
 	for _, n := range f.nodes {
-		ready := await(ctx, readyPatience, func() bool { return n.current().hasEnded() || f.isReady(n) })
+		ready := await(ctx, readyTimeout, func() bool { return n.current().hasEnded() || f.isReady(n) })
 		if p := n.current(); p.hasEnded() {
 			return Error.New("node %d has ended (%s); its log is in %s", n.number, p.end(), f.dir)
 		}
 		if !ready {
-			return Error.New("node %d is not ready after %s; its log is in %s", n.number, readyPatience, f.dir)
+			return Error.New("node %d is not ready after %s; its log is in %s", n.number, readyTimeout, f.dir)
 		}
 	}
 	return nil
 }
 
-// isReady asks a node's process whether it is ready.
+// isReady reports whether a node's process is ready.
 func (f *fleet) isReady(n *node) bool {
 	return statusOf("http://"+f.address(ownBase, n.number, portReady)+platform.ReadyPath) == http.StatusOK
 }
 
-// statusOf returns the status of an answer, and zero where none came.
+// statusOf returns the status of the response to a GET request, or 0 if there was none.
 func statusOf(url string) int {
-	client := http.Client{Timeout: readyTime}
+	client := http.Client{Timeout: readyRequestTimeout}
 	response, err := client.Get(url)
 	if err != nil {
 		return 0
@@ -49,13 +49,13 @@
 	return response.StatusCode
 }
 
-// isOverdue waits as await does and reports whether patience ended without done; a
-// run that was ended early is not overdue.
-func isOverdue(ctx context.Context, patience time.Duration, done func() bool) bool {
-	return !await(ctx, patience, done) && ctx.Err() == nil
+// isOverdue waits as await does and reports whether the timeout passed before done returned
+// true; it returns false if the run was ended early.
+func isOverdue(ctx context.Context, timeout time.Duration, done func() bool) bool {
+	return !await(ctx, timeout, done) && ctx.Err() == nil
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -63,10 +63,9 @@
 	}
 }
 
-// await waits until done reports true, for patience at most; it reports whether
-// that happened.
-func await(ctx context.Context, patience time.Duration, done func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
+// await polls done until it returns true, at most for the timeout, and reports whether it did.
+func await(ctx context.Context, timeout time.Duration, done func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if done() {
 			return true
 		}
--- a/soak/workspaces.go
+++ b/soak/workspaces.go
@@ -14,58 +14,59 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// keyedPath is the path of the only route that needs a key.
+// keyedPath is the path prefix of the only route that requires a key.
 const keyedPath = "/keyed/"
 
 const (
-	// floodWorkspace sends far more than its limit.
+	// floodWorkspace is the workspace that sends far more requests than its limit allows.
 	floodWorkspace = "flood"
-	// floodPrefix begins the ids of its requests.
+	// floodPrefix is the prefix of the ids of its requests.
 	floodPrefix = "flood-"
-	// floodPause is the pause between two requests of a caller that floods.
+	// floodPause is the pause between two requests of one of its callers.
 	floodPause = 5 * time.Millisecond
-	// floodLimit is its rate and its burst, loweredLimit both later on.
+	// floodLimit is both its rate per second and its burst, loweredLimit both after the limit
+	// was lowered.
 	floodLimit   = 20
 	loweredLimit = 4
-	// floodTime is how long it floods before and after its limit is lowered, and before
-	// and after its key is taken away.
+	// floodTime is how long it sends requests before and after its limit is lowered, and before
+	// and after its key is revoked.
 	floodTime = 4 * time.Second
-	// workspacePause is how long processes fail while it floods.
-	workspacePause = 700 * time.Millisecond
+	// disturbTime is the duration of each fault meanwhile.
+	disturbTime = 700 * time.Millisecond
 )
 
-// Bound of the users on what is run of a workspace's requests in any window.
+// Bound that the users require for the requests of a workspace that run in any window.
 const (
-	limitWindow  = 5 * time.Second
-	limitOverage = 0.25
-	limitSlack   = 20
+	limitWindow    = 5 * time.Second
+	limitTolerance = 0.25
+	limitSlack     = 20
 )
 
-// settingsTime is how soon new settings are in force everywhere, as the settings of the
-// processes state it, with a second for the machine.
-const settingsTime = 3 * time.Second
+// settingsTimeout is how soon new settings must be in force in all processes: the bound in the
+// settings of the processes (2 s) and one more second for a busy machine.
+const settingsTimeout = 3 * time.Second
 
-// limitSpan is a time in which a workspace has one limit.
+// limitSpan is a limit of a workspace and the time from which it was published.
 type limitSpan struct {
 	from  time.Time
 	limit float64
 }
 
-// keySpan is the time until which a key is taken.
+// keySpan is the time until which a key may be accepted.
 type keySpan struct {
 	key   string
 	until time.Time
 }
 
-// checkWorkspaces has a workspace flood while processes are killed, paused and cut off, lowers
-// its limit and takes its key away.
+// checkWorkspaces makes a workspace exceed its limit while processes are killed, paused and cut
+// off, lowers its limit and revokes its key.
 func (f *fleet) checkWorkspaces(ctx context.Context, random *rand.Rand) error {
 	if err := f.awaitReady(ctx); err != nil {
 		return err
 	}
 	first, second := "key-"+newID(), "key-"+newID()
 	f.publishWorkspace(floodLimit, first)
-	sleep(ctx, settingsTime)
+	sleep(ctx, settingsTimeout)
 	flooding, stop := context.WithCancel(ctx)
 	defer stop()
 	var work sync.WaitGroup
@@ -76,21 +77,21 @@
 	}
 	f.disturb(ctx, random, floodTime)
 	f.publishWorkspace(loweredLimit, first)
-	f.disturb(ctx, random, settingsTime+floodTime)
+	f.disturb(ctx, random, settingsTimeout+floodTime)
 	f.publishWorkspace(loweredLimit, second)
-	f.record.noteKeyEnd(keySpan{first, time.Now().Add(settingsTime)})
-	f.disturb(ctx, random, settingsTime+floodTime)
+	f.record.addKeyEnd(keySpan{first, time.Now().Add(settingsTimeout)})
+	f.disturb(ctx, random, settingsTimeout+floodTime)
 	stop()
 	work.Wait()
 	return nil
 }
 
-// disturb has one process after the other fail for a while.
+// disturb injects faults into processes, one after the other, for a while.
 func (f *fleet) disturb(ctx context.Context, random *rand.Rand, length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; {
-		mend := pick(random, pause, killAgain, linkFault)(f, random)
-		sleep(ctx, workspacePause)
-		mend()
+		repair := pick(random, pauseFault, killFault, linkFault)(f, random)
+		sleep(ctx, disturbTime)
+		repair()
 	}
 }
 
@@ -106,56 +107,58 @@
 	settings.Fleet.KeysRequired = true
 	settings.Fleet.Workspaces = []*slatewindv1.Workspace{{Name: floodWorkspace, Rate: limit, Burst: limit}}
 	f.store.Put(platform.ConfigKey, encode(settings, map[string][]string{floodWorkspace: {key}}))
-	f.record.noteLimit(limitSpan{time.Now(), limit})
+	f.record.addLimit(limitSpan{time.Now(), limit})
 }
 
-// flood sends requests with a key to a process, as fast as it answers.
+// flood sends requests with a key to a process, one after the other, until ctx ends.
 func (f *fleet) flood(ctx context.Context, n *node, key string) {
 	client := newCaller()
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		s := sentRequest{ID: floodPrefix + newID(), Kind: slatewind.KindSingle, Node: n.number, At: time.Now(), Key: key}
-		s.Status, s.Own = f.askWith(client, n.number, keyedPath, s.ID, http.Header{
+		s.Status, s.Own = f.sendWithHeader(client, n.number, keyedPath, s.ID, http.Header{
 			platform.Callers().Key: {key}, platform.Callers().Workspace: {"claimed"},
 		})
 		s.Ended = time.Now()
-		f.record.noteSent(s)
+		f.record.addSent(s)
 		sleep(ctx, floodPause)
 	}
 }
 
-// judgeHeaders checks what a server is told of a request's sender.
-func judgeHeaders(id string, header http.Header) (breaches []Breach) {
+// verifyHeaders checks the header fields that a server receives: never a key, and the workspace
+// of the key for requests of the flooding workspace only.
+func verifyHeaders(id string, header http.Header) (breaches []Breach) {
 	if keys := header.Values(platform.Callers().Key); len(keys) > 0 {
-		breaches = append(breaches, Breach{PromiseKey, fmt.Sprintf("request %s came to a server with a key", id)})
+		breaches = append(breaches, Breach{PromiseKey, fmt.Sprintf("request %s arrived at a server with its key", id)})
 	}
 	want := []string(nil)
 	if strings.HasPrefix(id, floodPrefix) {
 		want = []string{floodWorkspace}
 	}
 	if got := header.Values(platform.Callers().Workspace); fmt.Sprint(got) != fmt.Sprint(want) {
-		breaches = append(breaches, Breach{PromiseKey, fmt.Sprintf("request %s came to a server as that of %v", id, got)})
+		breaches = append(breaches, Breach{PromiseKey, fmt.Sprintf("request %s arrived at a server with workspace %v", id, got)})
 	}
 	return breaches
 }
 
-// judgeKeys checks that no request ran whose key was taken away before it was sent.
-func judgeKeys(ended []keySpan, sent map[string]sentRequest, runs map[string]int) (breaches []Breach) {
+// verifyKeys checks that no request ran that was sent after its key had to be refused
+// everywhere.
+func verifyKeys(ended []keySpan, sent map[string]sentRequest, runs map[string]int) (breaches []Breach) {
 	for _, s := range sent {
 		for _, k := range ended {
 			if s.Key == k.key && s.At.After(k.until) && runs[s.ID] > 0 {
-				what := fmt.Sprintf("request %s ran %s after its key had to be refused everywhere", s.ID, s.At.Sub(k.until))
-				breaches = append(breaches, Breach{PromiseKey, what})
+				detail := fmt.Sprintf("request %s ran %s after its key had to be refused everywhere", s.ID, s.At.Sub(k.until))
+				breaches = append(breaches, Breach{PromiseKey, detail})
 			}
 		}
 	}
 	return breaches
 }
 
-// judgeLimit checks every window that ends with a run of the flooding workspace. A lower limit
-// counts for requests that were sent once it had to be in force; the first window that breaks
-// the bound is enough.
-func judgeLimit(limits []limitSpan, sent map[string]sentRequest, arrivals []arrival) []Breach {
+// verifyLimit checks every window that ends with a run of a request of the flooding workspace
+// and returns the first breach only. A lowered limit applies to requests that were sent after it
+// had to be in force.
+func verifyLimit(limits []limitSpan, sent map[string]sentRequest, arrivals []arrival) []Breach {
 	var times []time.Time
 	for _, a := range arrivals {
 		if strings.HasPrefix(a.ID, floodPrefix) {
@@ -164,7 +167,7 @@
 	}
 	for _, end := range times {
 		start := end.Add(-limitWindow)
-		limit := limitAt(limits, start.Add(-settingsTime))
+		limit := limitAt(limits, start.Add(-settingsTimeout))
 		ran := 0
 		for _, a := range arrivals {
 			s, known := sent[a.ID]
@@ -172,15 +175,17 @@
 				ran++
 			}
 		}
-		if allowed := (limit*limitWindow.Seconds()+limit)*(1+limitOverage) + limitSlack; float64(ran) > allowed {
-			what := fmt.Sprintf("%d requests ran in %s, %.0f allowed at %g a second", ran, limitWindow, allowed, limit)
-			return []Breach{{PromiseLimit, what}}
+		if allowed := (limit*limitWindow.Seconds()+limit)*(1+limitTolerance) + limitSlack; float64(ran) > allowed {
+			detail := fmt.Sprintf("%d requests ran in %s, %.0f allowed at %g a second", ran, limitWindow, allowed, limit)
+			return []Breach{{PromiseLimit, detail}}
 		}
 	}
 	return nil
 }
 
-// limitAt returns the highest limit that may still have been in force at a time.
+// limitAt returns the newest limit published by a time, or the first limit if there was none.
+// Limits are only ever lowered, so for the time settingsTimeout before the start of a window it
+// is the highest limit that may still have been in force in it.
 func limitAt(limits []limitSpan, at time.Time) float64 {
 	limit := 0.0
 	for i, span := range limits {
