--- a/soak/broken_test.go
+++ b/soak/broken_test.go
@@ -26,7 +26,7 @@
 // brokenBuilds has at least one build for each promise.
 var brokenBuilds = map[string]brokenBuild{
 	"single requests are retried": {
-		promise: soak.PromiseOnce,
+		promise: soak.PromiseAtMostOnce,
 		part:    soak.PartStorm,
 		fault:   standin.StampedLost,
 		edits: []overlay.Edit{{
@@ -36,7 +36,7 @@
 		}},
 	},
 	"an unknown outcome is reported as not run": {
-		promise: soak.PromiseNotRun,
+		promise: soak.PromiseTrueRefusal,
 		part:    soak.PartStorm,
 		fault:   standin.StampedLost,
 		edits: []overlay.Edit{{
@@ -72,7 +72,7 @@
 		}},
 	},
 	"a stop does not end": {
-		promise: soak.PromiseEnds,
+		promise: soak.PromiseStopInTime,
 		part:    soak.PartStops,
 		edits: []overlay.Edit{{
 			File: "cmd/slatewindd/main.go",
@@ -81,7 +81,7 @@
 		}},
 	},
 	"a stopping process accepts what it cannot finish": {
-		promise: soak.PromiseFinish,
+		promise: soak.PromiseNoLateAbandon,
 		part:    soak.PartStops,
 		edits: []overlay.Edit{
 			{File: "drain/drain.go", From: "	if c.Open(now) {\n\t\treturn r.Deadline", To: "	if true {\n\t\treturn r.Deadline"},
@@ -119,7 +119,7 @@
 		edits:   []overlay.Edit{{File: "discovery/settings.go", From: newerInDiscovery, To: "w.settings == nil"}},
 	},
 	"older settings are taken": {
-		promise: soak.PromiseForward,
+		promise: soak.PromiseNoOlderSettings,
 		part:    soak.PartCalm,
 		edits: []overlay.Edit{
 			{File: "discovery/settings.go", From: newerInDiscovery, To: "true"},
@@ -234,7 +234,7 @@
 	if *whole {
 		return o
 	}
-	o.Until, o.Parts = b.promise, []soak.Part{b.part}
+	o.StopOn, o.Parts = b.promise, []soak.Part{b.part}
 	if b.fault != standin.StampedOK {
 		o.ServerFaults = []standin.StampedMode{b.fault}
 	}
--- a/soak/calm.go
+++ b/soak/calm.go
@@ -82,7 +82,7 @@
 
 // awaitSettings waits until settings are in force in all processes.
 func (f *fleet) awaitSettings(ctx context.Context, version uint64) {
-	end := time.Now().Add(f.options.Patience)
+	end := time.Now().Add(f.options.Timeout)
 	client := newCaller()
 	defer client.CloseIdleConnections()
 	for _, n := range f.nodes {
@@ -91,7 +91,7 @@
 			return status == http.StatusOK
 		}
 		if isOverdue(ctx, time.Until(end), known) {
-			f.record.addBreach(PromiseSettings, "node %d does not have version %d of the settings in force after %s", n.number, version, f.options.Patience)
+			f.record.addBreach(PromiseSettings, "node %d does not have version %d of the settings in force after %s", n.number, version, f.options.Timeout)
 		}
 	}
 }
@@ -113,8 +113,8 @@
 		}
 		return time.Since(since) >= quietTime
 	}
-	if isOverdue(ctx, f.options.Patience, quiet) {
-		f.record.addBreach(PromiseLeaving, "server %d still receives requests %s after its entry was marked as leaving", leaver.number, f.options.Patience)
+	if isOverdue(ctx, f.options.Timeout, quiet) {
+		f.record.addBreach(PromiseLeaving, "server %d still receives requests %s after its entry was marked as leaving", leaver.number, f.options.Timeout)
 		return
 	}
 	f.record.addLeaving(departure{Server: leaver.number, Known: time.Now()})
@@ -130,8 +130,8 @@
 	f.slowServers(ctx)
 	f.stopping.Store(true)
 	p.signal(syscall.SIGTERM)
-	if isOverdue(ctx, f.options.Patience, p.hasEnded) {
-		return Error.New("node %d has not exited %s after SIGTERM", n.number, f.options.Patience)
+	if isOverdue(ctx, f.options.Timeout, p.hasEnded) {
+		return Error.New("node %d has not exited %s after SIGTERM", n.number, f.options.Timeout)
 	}
 	return nil
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -177,7 +177,7 @@
 	p := n.current()
 	p.signal(sig)
 	return func() {
-		if !p.endsWithin(f.options.Patience) {
+		if !p.endsWithin(f.options.Timeout) {
 			p.kill()
 		}
 		f.relaunch(n, p)
--- a/soak/probe.go
+++ b/soak/probe.go
@@ -46,7 +46,7 @@
 	case status == http.StatusOK:
 		p.newest = max(p.newest, version)
 	case status == http.StatusNotFound && version > 0 && version <= p.newest:
-		p.fleet.record.addBreach(PromiseForward, "node %d had version %d of the settings in force and has lost it", p.node.number, version)
+		p.fleet.record.addBreach(PromiseNoOlderSettings, "node %d had version %d of the settings in force and has lost it", p.node.number, version)
 	}
 }
 
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -28,7 +28,7 @@
 	t.Cleanup(func() { signal.Stop(hangUps) })
 	program := filepath.Join(t.TempDir(), "idle")
 	assert.NilError(t, os.WriteFile(program, []byte(idle), 0o700))
-	f, err := newFleet(Options{Program: program, Nodes: 2, Patience: 5 * time.Second})
+	f, err := newFleet(Options{Program: program, Nodes: 2, Timeout: 5 * time.Second})
 	assert.NilError(t, err)
 	t.Cleanup(func() { f.close(false) })
 	n, err := f.newNode(0)
@@ -57,7 +57,7 @@
 	defer func() { _ = ready.Close() }()
 	go func() { _ = ready.Serve(listener) }()
 	f.reload(f.nodes[0])
-	assert.Assert(t, p.endsWithin(f.options.Patience))
+	assert.Assert(t, p.endsWithin(f.options.Timeout))
 }
 
 // TestAwaitReadyReportsProcessExit checks that awaitReady does not wait for a process that has
--- a/soak/silence.go
+++ b/soak/silence.go
@@ -32,10 +32,10 @@
 		silent = append(silent, proxyOf(n).silence()...)
 	}
 	sleep(ctx, silenceTimeout)
-	await(ctx, f.options.Patience, func() bool {
+	await(ctx, f.options.Timeout, func() bool {
 		// A run that ends at the first breach need not wait any longer; other runs measure the
 		// total time for the report.
-		tooLong := f.options.Until == promise && longestSilence(silent) > silenceTimeout
+		tooLong := f.options.StopOn == promise && longestSilence(silent) > silenceTimeout
 		return tooLong || countKept(silent) == 0
 	})
 	if longest := longestSilence(silent); longest > silenceTimeout {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -73,17 +73,17 @@
 	ServerFaults []standin.StampedMode
 	// Timeout is how long a change may take to show in parts with time bounds. It is far above
 	// the bounds that the users require, since the machine may be busy.
-	Patience time.Duration
+	Timeout time.Duration
 	// StopOn ends the run as soon as this promise is broken; if it is empty, all parts run to
 	// the end.
-	Until Promise
+	StopOn Promise
 }
 
 // Defaults of Options.
 const (
-	DefaultNodes    = 5
-	DefaultStorm    = 8 * time.Second
-	DefaultPatience = 15 * time.Second
+	DefaultNodes   = 5
+	DefaultStorm   = 8 * time.Second
+	DefaultTimeout = 15 * time.Second
 )
 
 // Report is the result of one run.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -46,7 +46,7 @@
 func options(program string, seed uint64, parts ...soak.Part) soak.Options {
 	return soak.Options{
 		Program: program, Seed: seed, Nodes: *nodes, Parts: parts,
-		Storm: soak.DefaultStorm, Patience: soak.DefaultPatience,
+		Storm: soak.DefaultStorm, Timeout: soak.DefaultTimeout,
 	}
 }
 
@@ -109,7 +109,7 @@
 			report, err := soak.Run(context.Background(), options(program, seed, parts...))
 			assert.NilError(t, err, "logs: %s", report.Logs)
 			for _, b := range report.Breaches {
-				t.Errorf("%s: %s (logs: %s)", b.Promise, b.What, report.Logs)
+				t.Errorf("%s: %s (logs: %s)", b.Promise, b.Detail, report.Logs)
 			}
 		})
 	}
--- a/soak/stoponbreach.go
+++ b/soak/stoponbreach.go
@@ -11,12 +11,12 @@
 // stopOnBreach ends the parts of a run as soon as the promise Options.StopOn is broken. The run
 // is verified again at the end, when all requests have ended.
 func (f *fleet) stopOnBreach(partsCtx context.Context, cancelParts context.CancelFunc) {
-	if f.options.Until == "" {
+	if f.options.StopOn == "" {
 		return
 	}
 	for partsCtx.Err() == nil {
 		for _, b := range f.record.verify(f.runs) {
-			if b.Promise == f.options.Until {
+			if b.Promise == f.options.StopOn {
 				cancelParts()
 			}
 		}
--- a/soak/verify.go
+++ b/soak/verify.go
@@ -13,21 +13,21 @@
 
 // Promises that a run checks.
 const (
-	// PromiseOnce: a single request runs at most once.
-	PromiseOnce Promise = "at most once"
-	// PromiseNotRun: a single request that was refused as not run has not run.
-	PromiseNotRun Promise = "true refusal"
+	// PromiseAtMostOnce: a single request runs at most once.
+	PromiseAtMostOnce Promise = "at most once"
+	// PromiseTrueRefusal: a single request that was refused as not run has not run.
+	PromiseTrueRefusal Promise = "true refusal"
 	// PromiseOwnAnswer: a response with status 200 is the complete answer of a server to this
 	// request.
 	PromiseOwnAnswer Promise = "own whole answer"
 	// PromiseNoCut: a planned stop of a process cuts off no request that a server has begun to
 	// run.
 	PromiseNoCut Promise = "no cut by a stop"
-	// PromiseEnds: a process that receives SIGTERM exits by itself within its grace time.
-	PromiseEnds Promise = "a stop ends in time"
-	// PromiseFinish: a stopping process accepts no late request that it then gives up while a
+	// PromiseStopInTime: a process that receives SIGTERM exits by itself within its grace time.
+	PromiseStopInTime Promise = "a stop ends in time"
+	// PromiseNoLateAbandon: a stopping process accepts no late request that it then gives up while a
 	// server runs it.
-	PromiseFinish Promise = "no late request given up by a stop"
+	PromiseNoLateAbandon Promise = "no late request given up by a stop"
 	// PromiseLeaving: a leaving server receives no new requests once all processes know that it
 	// leaves.
 	PromiseLeaving Promise = "no work for a leaving server"
@@ -37,8 +37,8 @@
 	PromiseSilentStore Promise = "silence of the store noticed"
 	// PromiseSettings: published settings are in force in all processes within the time bound.
 	PromiseSettings Promise = "settings in force"
-	// PromiseForward: a process never returns to older settings between its start and its exit.
-	PromiseForward Promise = "settings never go back"
+	// PromiseNoOlderSettings: a process never returns to older settings between its start and its exit.
+	PromiseNoOlderSettings Promise = "settings never go back"
 	// PromiseKey: a server receives the workspace of a key, never the key itself, and runs no
 	// request whose key has been revoked.
 	PromiseKey Promise = "the workspace of the key"
@@ -53,7 +53,7 @@
 // Breach is a broken promise with the observation that shows it.
 type Breach struct {
 	Promise Promise
-	What    string
+	Detail  string
 }
 
 // Bounds of the retry budget in the settings of the fleet, counted as the users count it: in any
@@ -73,10 +73,10 @@
 	}
 	single := s.Kind == slatewind.KindSingle
 	if single && runs > 1 {
-		add(PromiseOnce)
+		add(PromiseAtMostOnce)
 	}
 	if single && isRefusal(s.Status) && runs > 0 {
-		add(PromiseNotRun)
+		add(PromiseTrueRefusal)
 	}
 	if s.Status == http.StatusOK && (!s.Own || runs == 0) {
 		add(PromiseOwnAnswer)
--- a/soak/verifystops.go
+++ b/soak/verifystops.go
@@ -18,7 +18,7 @@
 func verifyStop(s plannedStop, sent map[string]sentRequest, runs map[string]int, hung map[string]bool) (breaches []Breach) {
 	if s.Ended.IsZero() || s.Ended.Sub(s.Asked) >= graceTime {
 		detail := fmt.Sprintf("node %d has not exited by itself %s after SIGTERM", s.Node, graceTime)
-		breaches = append(breaches, Breach{PromiseEnds, detail})
+		breaches = append(breaches, Breach{PromiseStopInTime, detail})
 	}
 	for id, r := range sent {
 		after := r.At.Sub(s.Asked)
@@ -31,9 +31,9 @@
 		refused := r.Kind == slatewind.KindRepeatable && isRefusal(r.Status)
 		switch {
 		case givenUp && after > lateThreshold:
-			breaches = append(breaches, Breach{PromiseFinish, detail})
+			breaches = append(breaches, Breach{PromiseNoLateAbandon, detail})
 		case refused:
-			breaches = append(breaches, Breach{PromiseNotRun, detail})
+			breaches = append(breaches, Breach{PromiseTrueRefusal, detail})
 		}
 	}
 	return breaches
--- a/soak/verifystops_test.go
+++ b/soak/verifystops_test.go
@@ -27,12 +27,12 @@
 		want   []Promise
 	}{
 		"ended by itself":         {took: 5 * time.Second},
-		"ended at the grace time": {took: graceTime, want: []Promise{PromiseEnds}},
-		"had to be killed":        {want: []Promise{PromiseEnds}},
+		"ended at the grace time": {took: graceTime, want: []Promise{PromiseStopInTime}},
+		"had to be killed":        {want: []Promise{PromiseStopInTime}},
 		"served late":             {took: early, after: late, status: http.StatusOK, runs: 1},
 		"given up early":          {took: early, after: early, status: http.StatusBadGateway, runs: 1},
-		"given up late":           {took: early, after: late, status: http.StatusBadGateway, runs: 1, want: []Promise{PromiseFinish}},
-		"cut off late":            {took: early, after: late, runs: 1, want: []Promise{PromiseFinish}},
+		"given up late":           {took: early, after: late, status: http.StatusBadGateway, runs: 1, want: []Promise{PromiseNoLateAbandon}},
+		"cut off late":            {took: early, after: late, runs: 1, want: []Promise{PromiseNoLateAbandon}},
 		"timed out":               {took: early, after: late, status: http.StatusGatewayTimeout, runs: 1},
 		"not begun":               {took: early, after: late, status: http.StatusBadGateway},
 		"sent before the stop":    {took: early, after: -early, status: http.StatusBadGateway, runs: 1},
@@ -41,7 +41,7 @@
 		"refused":                 {took: early, after: late, kind: slatewind.KindRepeatable, status: http.StatusServiceUnavailable},
 		"refused and run": {
 			took: early, after: late, kind: slatewind.KindRepeatable, status: http.StatusServiceUnavailable, runs: 1,
-			want: []Promise{PromiseNotRun},
+			want: []Promise{PromiseTrueRefusal},
 		},
 	}
 	for name, test := range tests {
