--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,11 +1,10 @@
-// Package gossip keeps the processes' views of each other and of the settings
-// together.
+// Package gossip keeps membership and settings consistent among the processes.
 //
-// Each second a process exchanges news with a few random others: the version of
-// its settings, recent changes of members, and the digests of its own servers.
-// Whoever hears of newer settings fetches the chunks that it lacks from the
-// peer that told, puts them in force and pushes the news on at once. A few
-// readers of each data centre watch the platform; the others hear of it here.
+// Each second a process exchanges state with a few random others: the version of its
+// settings, recent changes of members, and the digests of its own servers. A process that
+// learns of newer settings fetches the missing chunks from that peer, puts them in force
+// and pushes the new version to others at once. A few readers in each data centre watch the
+// platform; the other processes get its data by gossip.
 package gossip
 
 import (
@@ -24,51 +23,53 @@
 const (
 	// interval is the time between two rounds.
 	interval = time.Second
-	// fanOut is how many peers a round asks.
+	// fanOut is the number of peers in a round.
 	fanOut = 2
-	// pushFanOut is how many peers hear of new settings at once.
+	// pushFanOut is the number of peers in a push of new settings.
 	pushFanOut = 4
-	// pushes is how often, pushEvery at what distance.
+	// pushes is the number of pushes of new settings, pushEvery the time between them.
 	pushes    = 4
 	pushEvery = 200 * time.Millisecond
-	// maxMembers bounds the members told in one exchange.
+	// maxMembers limits the members sent in one exchange.
 	maxMembers = 32
-	// smallFleet is the number of processes up to which every exchange brings
-	// outcomes.
+	// smallFleet is the number of processes up to which every exchange includes the
+	// outcomes of the servers.
 	smallFleet = 50
-	// callTimeout bounds one exchange.
+	// callTimeout limits one exchange.
 	callTimeout = 900 * time.Millisecond
-	// fetchPatience is how long a transfer may take before another is begun.
-	fetchPatience = 250 * time.Millisecond
-	// fetchTimeout bounds the transfer of settings.
+	// fetchHedgeDelay is how long a fetch of settings may take before another one may start.
+	fetchHedgeDelay = 250 * time.Millisecond
+	// fetchTimeout limits one fetch of settings.
 	fetchTimeout = 5 * time.Second
 )
 
-// Peers carries messages to other processes.
+// Peers calls other processes at their IP:port addresses.
 type Peers interface {
 	Sync(ctx context.Context, address string, request *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error)
 	Fetch(ctx context.Context, address string, request *slatewindv1.FetchRequest) (*slatewindv1.FetchReply, error)
 }
 
-// Events is who wants to know what gossip brings.
+// Events is the host's side of gossip: it takes what is received and supplies what is sent.
 type Events interface {
-	// SettingsChanged: another file is in force.
+	// SettingsChanged is called when another settings file is in force.
 	SettingsChanged(now time.Time, snapshot *config.Snapshot)
-	// MembersChanged: some VM's address or state is another.
+	// MembersChanged is called when the address or state of a VM may have changed.
 	MembersChanged(now time.Time)
-	// Heard brings digests of other VMs' servers.
+	// Heard is called with the digests received in an exchange, and with this process's own
+	// digests in each round.
 	Heard(now time.Time, digests []*slatewindv1.Digest)
-	// SelfLeaving: somebody read in the platform's list that this VM leaves.
+	// SelfLeaving is called when the platform's list shows this VM as leaving, whichever
+	// process read it.
 	SelfLeaving(now time.Time)
-	// Digests returns those of this VM's servers, with or without outcomes.
+	// Digests returns the digests of this VM's servers, with or without outcomes.
 	Digests(outcomes bool) []*slatewindv1.Digest
-	// Suspects returns what is told of requests under which servers ended, and HeardSuspects
-	// brings what others tell.
+	// Suspects returns what to send about requests during which servers crashed.
 	Suspects(now time.Time) []*slatewindv1.Suspect
+	// HeardSuspects is called with what other processes sent about such requests.
 	HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect)
 }
 
-// Gossip is the host of the member table.
+// Gossip owns the membership table of a process and exchanges state with other processes.
 type Gossip struct {
 	store   *config.Store
 	journal slatewind.Journal
@@ -77,19 +78,22 @@
 	seeds   []string
 	self    string
 
+	// mu guards table, random, platformSeen, fetches and lastFetch.
 	mu     sync.Mutex
 	table  *member.Table
 	random *rand.Rand
-	// platformSeen is the time of the newest look at the platform that this
-	// process made or heard of.
+	// platformSeen is the time of the newest successful read of the platform, by this
+	// process or by another, as received by gossip. It is zero before the first.
 	platformSeen time.Time
-	// fetches counts transfers in progress, lastFetch is when the newest began.
+	// fetches is the number of fetches in progress, lastFetch is when the newest started.
 	fetches   int
 	lastFetch time.Time
-	ctx       context.Context
+	// ctx is the context of Start.
+	ctx context.Context
 }
 
-// New returns a gossip host for a process. Start must be called before use.
+// New returns the Gossip of a process. seeds are peer addresses to contact at the start and
+// while no peers are known. Start must be called before use.
 func New(self member.Entry, seeds []string, store *config.Store, journal slatewind.Journal, peers Peers) *Gossip {
 	return &Gossip{
 		store: store, journal: journal, peers: peers, seeds: seeds, self: self.VM,
@@ -98,7 +102,7 @@
 	}
 }
 
-// Start joins the others and begins the rounds, which end with ctx.
+// Start contacts the seeds and starts the rounds, which end with ctx.
 func (g *Gossip) Start(ctx context.Context, timers *timer.Service, events Events) {
 	g.ctx = ctx
 	g.events = events
@@ -107,7 +111,7 @@
 	}
 	timers.Subscribe(ctx, interval, func(t timer.Tick) {
 		if t.Paused > 0 {
-			// A process that was away holds old views; it asks more peers.
+			// After a pause of the process its state is outdated, so it asks more peers.
 			g.round(pushFanOut)
 			return
 		}
@@ -127,7 +131,7 @@
 	return e.DataCentre
 }
 
-// Leaving reports whether a VM is known to take no new work.
+// Leaving reports whether a VM is known to be leaving, so that it takes no new work.
 func (g *Gossip) Leaving(vm string) bool {
 	e, ok := g.find(vm)
 	return ok && e.State == slatewind.VMLeaving
@@ -139,21 +143,22 @@
 	return g.table.Find(vm)
 }
 
-// Members returns every known VM, by name.
+// Members returns all known VMs, sorted by name.
 func (g *Gossip) Members() []member.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.All()
 }
 
-// MayRead reports whether this process reads the platform now.
+// MayRead reports whether this process may read the platform now (see member.MayRead).
 func (g *Gossip) MayRead(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return member.MayRead(g.table.ReaderRank(), g.platformAge(now))
 }
 
-// PlatformAge returns the age of the newest look at the platform known here.
+// PlatformAge returns the age of the newest known read of the platform, and an hour if none
+// is known.
 func (g *Gossip) PlatformAge(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -167,7 +172,7 @@
 	return now.Sub(g.platformSeen)
 }
 
-// PlatformSeen notes a look at the platform by this process.
+// PlatformSeen records a successful read of the platform by this process.
 func (g *Gossip) PlatformSeen(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,7 +181,7 @@
 	}
 }
 
-// Listed takes the platform's VM list.
+// Listed merges the platform's VM list.
 func (g *Gossip) Listed(now time.Time, vms []slatewind.VM) {
 	g.mu.Lock()
 	before := g.table.Self().State
@@ -189,7 +194,7 @@
 	g.events.MembersChanged(now)
 }
 
-// Leave tells the others that this process takes no new work.
+// Leave marks this process as leaving and publishes that it takes no new work.
 func (g *Gossip) Leave(now time.Time) {
 	g.mu.Lock()
 	g.table.Leave(now)
@@ -197,8 +202,8 @@
 	g.round(pushFanOut)
 }
 
-// push tells some peers at once of new settings, and then a few more times, each
-// time others: a message may be lost, and a cut may leave few ways open.
+// push publishes new settings in several rounds, each with other random peers, since messages
+// may be lost and a network partition may leave few paths open.
 func (g *Gossip) push() {
 	for range pushes {
 		g.round(pushFanOut)
@@ -216,13 +221,15 @@
 	return g.table.Peers(g.random, n)
 }
 
-// hearSelf tells this process's ingress of its own servers, as a peer would.
-func (g *Gossip) hearSelf() {
+// deliverOwnDigests passes the digests of this process's own servers to its ingress, as if
+// received from a peer.
+func (g *Gossip) deliverOwnDigests() {
 	g.events.Heard(time.Now(), g.events.Digests(true))
 }
 
+// round starts an exchange with each of n random peers, or with the seeds if no peer is known.
 func (g *Gossip) round(n int) {
-	g.hearSelf()
+	g.deliverOwnDigests()
 	peers := g.choose(n)
 	if len(peers) == 0 {
 		for _, address := range g.seeds {
@@ -235,24 +242,25 @@
 	}
 }
 
-// RefreshDigests exchanges news with the processes of VMs and waits for all, or for ctx.
+// RefreshDigests exchanges state, with the outcomes of servers, with the processes of VMs and
+// waits for all exchanges to end. ctx limits them.
 func (g *Gossip) RefreshDigests(ctx context.Context, vms []string) {
 	var group sync.WaitGroup
 	for _, vm := range vms {
 		if vm == g.self {
-			g.hearSelf()
+			g.deliverOwnDigests()
 			continue
 		}
 		address := g.Address(vm)
 		if address == "" {
 			continue
 		}
-		group.Go(func() { g.exchangeWithin(ctx, address, vm, ask) })
+		group.Go(func() { g.exchangeWithin(ctx, address, vm, wantOutcomes) })
 	}
 	group.Wait()
 }
 
-// Relay passes digests of other VMs' servers on to a few processes.
+// Relay forwards digests of other VMs' servers to a few random processes.
 func (g *Gossip) Relay(digests []*slatewindv1.Digest) {
 	for _, peer := range g.choose(pushFanOut) {
 		go g.exchange(peer.PeerAddress, peer.VM, func(r *slatewindv1.SyncRequest) {
@@ -261,45 +269,47 @@
 	}
 }
 
-// ask marks an exchange as one that wants outcomes.
-func ask(r *slatewindv1.SyncRequest) { r.WantsOutcomes = true }
+// wantOutcomes requests the outcomes of servers in an exchange.
+func wantOutcomes(r *slatewindv1.SyncRequest) { r.WantsOutcomes = true }
 
-// plain leaves an exchange as it is.
+// plain leaves the request of an exchange unchanged.
 func plain(*slatewindv1.SyncRequest) {}
 
-// exchange syncs with the process at an address; vm is its VM where known. with
-// adds to what every exchange tells.
-func (g *Gossip) exchange(address, vm string, with func(*slatewindv1.SyncRequest)) {
+// exchange calls Sync of the process at an address and handles the reply. vm is its VM, or
+// "" if unknown. modify changes the request before it is sent.
+func (g *Gossip) exchange(address, vm string, modify func(*slatewindv1.SyncRequest)) {
 	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
 	defer cancel()
-	g.exchangeWithin(ctx, address, vm, with)
+	g.exchangeWithin(ctx, address, vm, modify)
 }
 
-func (g *Gossip) exchangeWithin(ctx context.Context, address, vm string, with func(*slatewindv1.SyncRequest)) {
+// exchangeWithin is exchange with the deadline of ctx.
+func (g *Gossip) exchangeWithin(ctx context.Context, address, vm string, modify func(*slatewindv1.SyncRequest)) {
 	now := time.Now()
 	g.mu.Lock()
 	g.table.Calling(vm)
 	g.mu.Unlock()
 	request := g.request(now, false)
-	with(request)
+	modify(request)
 	reply, err := g.peers.Sync(ctx, address, request)
 	if g.ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		g.unreached(vm)
+		g.callFailed(vm)
 		return
 	}
 	g.mu.Lock()
 	g.table.Contact(time.Now(), vm, true)
 	g.mu.Unlock()
-	g.take(time.Now(), address, &slatewindv1.SyncRequest{
+	g.receive(time.Now(), address, &slatewindv1.SyncRequest{
 		Self: reply.GetSelf(), Version: reply.GetVersion(), Members: reply.GetMembers(),
 		Digests: reply.GetDigests(), PlatformAgeNanos: reply.GetPlatformAgeNanos(), Suspects: reply.GetSuspects(),
 	})
 }
 
-func (g *Gossip) unreached(vm string) {
+// callFailed records that a call to a VM failed.
+func (g *Gossip) callFailed(vm string) {
 	now := time.Now()
 	g.mu.Lock()
 	gone := g.table.Contact(now, vm, false)
@@ -309,9 +319,9 @@
 	}
 }
 
-// request is what every exchange tells. In a small fleet it brings the servers'
-// newest outcomes along; in a large one a random peer seldom uses just these
-// servers, and whoever wants outcomes asks.
+// request returns the request of an exchange. In a small fleet it always includes the newest
+// outcomes of the servers. In a large fleet a random peer seldom uses these servers, so they
+// are included only if outcomes is set.
 func (g *Gossip) request(now time.Time, outcomes bool) *slatewindv1.SyncRequest {
 	g.mu.Lock()
 	small := g.table.Len() <= smallFleet
@@ -330,21 +340,21 @@
 	}
 }
 
-// Tell exchanges news with the processes of some VMs at once, what it is given among them: of much
-// that is known an exchange tells a part only.
+// Tell starts an exchange with the processes of some VMs and adds suspects to it. They are
+// added explicitly, since an exchange sends only some of the suspects if there are many.
 func (g *Gossip) Tell(vms []string, suspects []*slatewindv1.Suspect) {
-	with := func(request *slatewindv1.SyncRequest) { request.Suspects = append(request.Suspects, suspects...) }
+	modify := func(request *slatewindv1.SyncRequest) { request.Suspects = append(request.Suspects, suspects...) }
 	for _, vm := range vms {
 		if address := g.Address(vm); address != "" {
-			go g.exchange(address, vm, with)
+			go g.exchange(address, vm, modify)
 		}
 	}
 }
 
-// Sync answers another process's round.
+// Sync serves an exchange that another process started.
 func (g *Gossip) Sync(_ context.Context, request *slatewindv1.SyncRequest) (*slatewindv1.SyncReply, error) {
 	now := time.Now()
-	g.take(now, request.GetSelf().GetPeerAddress(), request)
+	g.receive(now, request.GetSelf().GetPeerAddress(), request)
 	r := g.request(now, request.GetWantsOutcomes())
 	return &slatewindv1.SyncReply{
 		Self: r.GetSelf(), Version: r.GetVersion(), Members: r.GetMembers(),
@@ -352,51 +362,54 @@
 	}, nil
 }
 
-// take handles what another process told.
-func (g *Gossip) take(now time.Time, address string, told *slatewindv1.SyncRequest) {
-	changed, leaves := g.merge(now, told)
+// receive handles the state received from the process at address.
+func (g *Gossip) receive(now time.Time, address string, received *slatewindv1.SyncRequest) {
+	changed, leaves := g.merge(now, received)
 	if leaves {
 		g.events.SelfLeaving(now)
 	}
 	if changed {
 		g.events.MembersChanged(now)
 	}
-	g.events.Heard(now, told.GetDigests())
-	g.events.HeardSuspects(now, told.GetSuspects())
-	g.Hint(address, config.VersionFromAPI(told.GetVersion()))
+	g.events.Heard(now, received.GetDigests())
+	g.events.HeardSuspects(now, received.GetSuspects())
+	g.Hint(address, config.VersionFromAPI(received.GetVersion()))
 }
 
-func (g *Gossip) merge(now time.Time, told *slatewindv1.SyncRequest) (changed, leaves bool) {
+// merge merges the received members and platform age. It reports whether a member has changed
+// and whether this process is leaving from now on.
+func (g *Gossip) merge(now time.Time, received *slatewindv1.SyncRequest) (changed, leaves bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before := g.table.Self().State
-	changed = g.table.Merge(now, fromAPI(told.GetSelf(), slatewind.SourceContact))
-	for _, m := range told.GetMembers() {
-		if m.GetVm() != told.GetSelf().GetVm() {
+	changed = g.table.Merge(now, fromAPI(received.GetSelf(), slatewind.SourceContact))
+	for _, m := range received.GetMembers() {
+		if m.GetVm() != received.GetSelf().GetVm() {
 			changed = g.table.Merge(now, fromAPI(m, slatewind.SourceGossip)) || changed
 		}
 	}
-	if seen := now.Add(-time.Duration(told.GetPlatformAgeNanos())); seen.After(g.platformSeen) {
+	if seen := now.Add(-time.Duration(received.GetPlatformAgeNanos())); seen.After(g.platformSeen) {
 		g.platformSeen = seen
 	}
 	leaves = before == slatewind.VMLive && g.table.Self().State == slatewind.VMLeaving
 	return changed, leaves
 }
 
-// Hint notes that the process at an address spoke of a settings version.
+// Hint reports that the process at an address has a version of the settings. If it is newer
+// than the own one, the settings are fetched from there.
 func (g *Gossip) Hint(address string, version config.Version) {
 	if version.Newer(g.store.Version()) {
 		g.fetchFrom(address)
 	}
 }
 
-// fetchFrom gets newer settings from a peer. One transfer at a time is enough,
-// unless it hangs: then the next peer that tells of the news is asked too.
+// fetchFrom starts a fetch of newer settings from a peer. It does nothing while another fetch
+// is in progress, unless that one has taken fetchHedgeDelay, since it may hang.
 func (g *Gossip) fetchFrom(address string) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fetches > 0 && now.Sub(g.lastFetch) < fetchPatience {
+	if g.fetches > 0 && now.Sub(g.lastFetch) < fetchHedgeDelay {
 		return
 	}
 	g.fetches++
@@ -409,6 +422,7 @@
 	}()
 }
 
+// fetch gets the missing chunks of the settings from a peer and offers the settings.
 func (g *Gossip) fetch(address string) {
 	ctx, cancel := context.WithTimeout(g.ctx, fetchTimeout)
 	defer cancel()
@@ -420,14 +434,14 @@
 	if err != nil {
 		return
 	}
-	text, whole := config.Join(reply.GetChunks(), older, reply.GetMissing())
-	if !whole {
+	text, complete := config.Join(reply.GetChunks(), older, reply.GetMissing())
+	if !complete {
 		return
 	}
 	g.Offer(time.Now(), "peer "+address, config.VersionFromAPI(reply.GetVersion()).Written(), text)
 }
 
-// Fetch answers a process that lacks settings.
+// Fetch serves the chunks of the current settings that another process lacks.
 func (g *Gossip) Fetch(_ context.Context, request *slatewindv1.FetchRequest) (*slatewindv1.FetchReply, error) {
 	current := g.store.Current()
 	if current == nil {
@@ -441,8 +455,8 @@
 	}, nil
 }
 
-// Offer puts a file in force if it is newer and without findings, and then
-// tells others at once.
+// Offer puts a settings file in force if it is newer and has no findings, and then pushes it
+// to other processes.
 func (g *Gossip) Offer(now time.Time, source string, revision slatewind.Revision, text []byte) {
 	changed, err := g.store.Offer(now, source, revision, text)
 	if err != nil || !changed {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -26,11 +26,11 @@
 
 const (
 	dataCentres = 3
-	// travel is how long a message takes.
-	travel = 2 * time.Millisecond
+	// messageDelay is how long a message takes.
+	messageDelay = 2 * time.Millisecond
 )
 
-// cluster is a set of real gossip hosts on a network that can lose messages.
+// cluster is a set of real Gossip instances on a simulated network that can lose messages.
 type cluster struct {
 	t     testing.TB
 	ctx   context.Context
@@ -41,7 +41,7 @@
 	cut   func(from, to string) bool
 }
 
-// node is one process: gossip, settings and, if it has a platform, its reader.
+// node is one process with its gossip and settings.
 type node struct {
 	cluster *cluster
 	address string
@@ -49,7 +49,7 @@
 	store   *config.Store
 	// leaving counts calls of SelfLeaving.
 	leaving int
-	// suspects is what the process knows of requests under which servers ended.
+	// suspects holds the records about requests during which servers crashed.
 	suspects *quarantine.Table
 }
 
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
-		// Calls on their way end before the virtual time does.
+		// Calls in progress end before the synctest bubble does.
 		time.Sleep(time.Second)
 		synctest.Wait()
 	})
@@ -68,7 +68,7 @@
 
 func zone(i int) string { return fmt.Sprintf("dc-%d", i%dataCentres) }
 
-// add starts a process; seed is the address of one that it knows.
+// add starts a process; seeds are addresses of processes that it knows.
 func (c *cluster) add(i int, seeds ...string) *node {
 	n := &node{cluster: c, address: vmName(i), suspects: quarantine.NewTable(nil, nil)}
 	j := history.New(64, nil)
@@ -94,8 +94,8 @@
 	return nodes
 }
 
-// carry takes one message over the network; it reports whether it arrived.
-func (c *cluster) carry(ctx context.Context, from, to string) bool {
+// deliver sends one message over the network and reports whether it arrived.
+func (c *cluster) deliver(ctx context.Context, from, to string) bool {
 	c.mu.Lock()
 	lost := c.cut(from, to) || rand.Float64() < c.loss
 	c.mu.Unlock()
@@ -103,7 +103,7 @@
 		<-ctx.Done()
 		return false
 	}
-	time.Sleep(travel)
+	time.Sleep(messageDelay)
 	return ctx.Err() == nil
 }
 
@@ -113,20 +113,20 @@
 	c.cut = cut
 }
 
-// callTo has one node call another.
+// callTo calls another node.
 func callTo[Q, R any](ctx context.Context, n *node, address string, request Q, serve func(*gossip.Gossip, context.Context, Q) (R, error)) (R, error) {
 	var none R
 	n.cluster.mu.Lock()
 	to := n.cluster.nodes[address]
 	n.cluster.mu.Unlock()
 	if to == nil {
-		return none, fmt.Errorf("nobody listens on %s", address)
+		return none, fmt.Errorf("connection to %s refused", address)
 	}
-	if !n.cluster.carry(ctx, n.address, address) {
+	if !n.cluster.deliver(ctx, n.address, address) {
 		return none, context.DeadlineExceeded
 	}
 	reply, err := serve(to.gossip, ctx, request)
-	if !n.cluster.carry(ctx, address, n.address) {
+	if !n.cluster.deliver(ctx, address, n.address) {
 		return none, context.DeadlineExceeded
 	}
 	return reply, err
@@ -142,7 +142,7 @@
 	return callTo(ctx, n, address, request, (*gossip.Gossip).Fetch)
 }
 
-// The node's own parts want nothing but settings in these tests.
+// The remaining methods of gossip.Events do nothing in these tests.
 
 func (n *node) SettingsChanged(time.Time, *config.Snapshot) {}
 func (n *node) MembersChanged(time.Time)                    {}
@@ -160,8 +160,9 @@
 	n.suspects.Merge(now, link.RecordsOf(suspects))
 }
 
-// TestSuspectsAreTold: what is to be told goes with the exchange, also where others are told of.
-func TestSuspectsAreTold(t *testing.T) {
+// TestSuspectsAreSent: suspects passed to Tell are sent with the exchange, even if the process
+// itself has no records.
+func TestSuspectsAreSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		nodes := c.addAll(2)
@@ -174,9 +175,9 @@
 	})
 }
 
-// TestSuspectsTravel: news of a server's end go at once to the VMs that are told, and to all others
-// with the next rounds.
-func TestSuspectsTravel(t *testing.T) {
+// TestSuspectsSpread: records about the crash of a server reach the VMs given to Tell at
+// once, and all others with the next rounds.
+func TestSuspectsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		nodes := c.addAll(12)
@@ -194,7 +195,7 @@
 	})
 }
 
-// fakePlatform counts calls and can be down or stale.
+// fakePlatform counts calls and can be unavailable or stale.
 type fakePlatform struct {
 	mu    sync.Mutex
 	file  slatewind.SettingsFile
@@ -208,7 +209,7 @@
 	defer p.mu.Unlock()
 	p.calls++
 	if p.down {
-		return slatewind.SettingsFile{}, fmt.Errorf("platform is down")
+		return slatewind.SettingsFile{}, fmt.Errorf("platform is unavailable")
 	}
 	return p.file, nil
 }
@@ -274,12 +275,11 @@
 	}
 }
 
-// inForceWithin is the users' bound for a change to be in force everywhere.
+// inForceWithin is the required time limit for new settings to be in force everywhere.
 const inForceWithin = 4 * time.Second
 
-// TestSettingsReachEveryNode: one reader sees a new revision; all nodes have it
-// within four seconds, with messages lost and with a data centre that hears
-// nobody but can call out.
+// TestSettingsReachEveryNode: after one process gets a new revision, all nodes have it within
+// four seconds, with lost messages, and when that process can call only two others.
 func TestSettingsReachEveryNode(t *testing.T) {
 	tests := map[string]struct {
 		nodes int
@@ -314,9 +314,9 @@
 	}
 }
 
-// TestCutDataCentreCatchesUp: a data centre hears nothing for an hour while
-// revisions come; after the cut it has the newest within seconds, and nobody
-// goes back.
+// TestCutDataCentreCatchesUp: half of the processes are partitioned for an hour while new
+// revisions are published. After the partition heals they get the newest one, and no process
+// reverts to an older one.
 func TestCutDataCentreCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -331,14 +331,14 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, nodes[1].store.Version().Revision, uint64(1))
 		c.setCut(func(string, string) bool { return false })
-		// Who counted the others as gone finds them again by chance.
+		// Processes that count the others as gone find them again by random retries.
 		took := timeToAll(t, nodes, 3)
 		t.Logf("caught up after %s", took)
 	})
 }
 
-// TestNewNodeWhilePlatformIsDownOrStale: a node that starts takes the newest of
-// what peers and platform know.
+// TestNewNodeWhilePlatformIsDownOrStale: a new node gets the newest settings that its peers
+// or the platform have.
 func TestNewNodeWhilePlatformIsDownOrStale(t *testing.T) {
 	tests := map[string]func(*fakePlatform){
 		"down": func(p *fakePlatform) { p.down = true },
@@ -366,7 +366,8 @@
 	}
 }
 
-// TestFileWithFindingsStaysOut: it spreads nowhere and leaves what is in force.
+// TestFileWithFindingsStaysOut: a settings file with findings is not put in force anywhere,
+// and the previous settings stay in force.
 func TestFileWithFindingsStaysOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -379,8 +380,8 @@
 	})
 }
 
-// TestPlatformCallsDoNotGrowWithTheFleet counts the calls of whole fleets, with
-// the platform well and away.
+// TestPlatformCallsDoNotGrowWithTheFleet: the number of calls to the platform is limited per
+// data centre, with the platform available and unavailable.
 func TestPlatformCallsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, count := range []int{4, 40, 400} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -393,15 +394,15 @@
 				}
 				timeToAll(t, nodes, 1)
 				time.Sleep(30 * time.Second)
-				well := c.callsIn(time.Minute)
+				available := c.callsIn(time.Minute)
 				c.fake.set(func(p *fakePlatform) { p.down = true })
 				time.Sleep(2 * time.Minute)
-				away := c.callsIn(time.Minute)
-				t.Logf("%d nodes: %d calls a minute, %d while the platform is down", count, well, away)
-				// Two readers in each of three data centres; each watches
-				// three times a minute and lists twelve times.
-				assert.Assert(t, well <= dataCentres*member.Readers*16)
-				assert.Assert(t, away <= dataCentres*member.MaxReaders*2*30)
+				unavailable := c.callsIn(time.Minute)
+				t.Logf("%d nodes: %d calls a minute, %d while the platform is unavailable", count, available, unavailable)
+				// Each of the two readers of a data centre makes 3 watch calls and 12 list
+				// calls a minute; the limit has room for one more.
+				assert.Assert(t, available <= dataCentres*member.Readers*16)
+				assert.Assert(t, unavailable <= dataCentres*member.MaxReaders*2*30)
 			})
 		})
 	}
@@ -415,9 +416,8 @@
 	return c.fake.calls
 }
 
-// TestLeavingIsHeardByAll: a process says that it leaves, or one reader sees it
-// in the platform's list; all others know within seconds, and so does the
-// process itself.
+// TestLeavingIsHeardByAll: a process announces that it is leaving, or one reader reads it in
+// the platform's list. All others learn it within seconds, and so does the process itself.
 func TestLeavingIsHeardByAll(t *testing.T) {
 	tests := map[string]func(c *cluster, nodes []*node){
 		"its own word": func(_ *cluster, nodes []*node) { nodes[3].gossip.Leave(time.Now()) },
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -10,8 +10,8 @@
 	"slatewind.example/slatewind"
 )
 
-// TestSpread2200 has one reader see a new revision in a fleet of the target
-// size, with one message in a hundred lost and a sixth of the fleet cut off.
+// TestSpread2200: one reader reads a new revision of the settings in a fleet of the target
+// size, while one message in a hundred is lost and a sixth of the fleet is partitioned.
 func TestSpread2200(t *testing.T) {
 	const nodes, cutOff = 2200, 6
 	synctest.Test(t, func(t *testing.T) {
@@ -34,6 +34,6 @@
 		all[0].gossip.Offer(time.Now(), "test", slatewind.Revision{Number: 2}, settings(1))
 		t.Logf("in force on %d nodes after %s", len(rest), timeToAll(t, rest, 2))
 		c.setCut(func(string, string) bool { return false })
-		t.Logf("on the %d that were cut off %s after the cut", nodes-len(rest), timeToAll(t, all, 2))
+		t.Logf("in force on the %d partitioned nodes %s after the partition healed", nodes-len(rest), timeToAll(t, all, 2))
 	})
 }
