--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' HTTP interface of a process: its state, its
-// journal, its settings, its metrics and its recent events.
+// Package admin implements the HTTP interface of a process for operators. It serves the
+// state, the journal of decisions, the settings, the metrics and a trace of recent events.
 package admin
 
 import (
@@ -20,7 +20,7 @@
 	"slatewind.example/slatewind/sidecar"
 )
 
-// State is the dump of one process.
+// State is the state dump of a process.
 type State struct {
 	VM          string         `json:"vm"`
 	DataCentre  string         `json:"data_centre"`
@@ -32,19 +32,19 @@
 	Ingress     ingress.View   `json:"ingress"`
 	Sidecar     sidecar.View   `json:"sidecar"`
 	Members     []member.Entry `json:"members"`
-	// Outbound and Inbound stand in for Ingress and Sidecar where the platform's
-	// store lists the servers.
+	// Outbound and Inbound are used instead of Ingress and Sidecar if the servers come from
+	// the platform's store.
 	Outbound *outbound.View `json:"outbound,omitempty"`
 	Inbound  *inbound.View  `json:"inbound,omitempty"`
-	// Known is the store's revision up to which the process knows all servers.
+	// Known is the revision of the store up to which the process knows all servers.
 	Known *slatewind.Revision `json:"known_revision,omitempty"`
-	// Limits are the workspaces whose tokens this process gives to the fleet.
+	// Limits are the workspaces whose rate limit tokens this process grants to the fleet.
 	Limits []ratelimit.Use `json:"limits,omitempty"`
-	// Suspects are requests under which servers ended.
+	// Suspects are the requests during which servers crashed.
 	Suspects []quarantine.View `json:"suspects,omitempty"`
 }
 
-// Settings tells which file is in force.
+// Settings is the version of the settings file in force.
 type Settings struct {
 	VM       string    `json:"vm"`
 	Revision uint64    `json:"revision"`
@@ -52,19 +52,19 @@
 	Since    time.Time `json:"since"`
 }
 
-// Sources is where the interface gets its answers.
+// Sources supplies the data that the handler serves.
 type Sources struct {
 	State    func() State
 	Settings func() Settings
 	Journal  *history.Journal
 	Metrics  http.Handler
-	// Record writes recent events as a trace.
+	// Record returns the recent events as a YAML trace.
 	Record func() ([]byte, error)
-	// Ready reports whether callers can be served.
+	// Ready reports whether the process can serve callers.
 	Ready func() bool
 }
 
-// NewHandler returns the interface's HTTP handler.
+// NewHandler returns the HTTP handler of the interface.
 func NewHandler(s Sources) http.Handler {
 	router := mux.NewRouter()
 	router.Handle("/state", get(func(*http.Request) State { return s.State() })).Methods(http.MethodGet)
@@ -81,7 +81,7 @@
 	return router
 }
 
-// get answers with the JSON form of a value.
+// get returns a handler that serves a value as indented JSON.
 func get[T any](value func(*http.Request) T) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/metrics/documented_test.go
+++ b/metrics/documented_test.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	typeLine   = regexp.MustCompile(`(?m)^# TYPE (slatewind_\w+) (\w+)$`)
-	labelName  = regexp.MustCompile(`[{,](\w+)="`)
-	listedName = regexp.MustCompile("^`(slatewind_\\w+)`$")
+	typeLine  = regexp.MustCompile(`(?m)^# TYPE (slatewind_\w+) (\w+)$`)
+	labelName = regexp.MustCompile(`[{,](\w+)="`)
+	nameCell  = regexp.MustCompile("^`(slatewind_\\w+)`$")
 )
 
-// scrape uses each instrument once and returns the figures in Prometheus format.
+// scrape records a value with each instrument and returns the metrics in Prometheus format.
 func scrape(t *testing.T) string {
 	t.Helper()
 	m, err := metrics.New()
@@ -43,11 +43,11 @@
 	return answer.Body.String()
 }
 
-// row is a line of the operators' table.
-type row struct{ sort, labels string }
+// row is a row of the table of metrics in docs/OPERATIONS.md.
+type row struct{ kind, labels string }
 
-// listed reads the operators' table of metrics.
-func listed(t *testing.T) map[string]row {
+// documented reads the table of metrics in docs/OPERATIONS.md, by metric name.
+func documented(t *testing.T) map[string]row {
 	t.Helper()
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	assert.NilError(t, err)
@@ -57,33 +57,34 @@
 		if len(cells) < 6 {
 			continue
 		}
-		if name := listedName.FindStringSubmatch(strings.TrimSpace(cells[1])); name != nil {
-			rows[name[1]] = row{sort: cells[2], labels: cells[3]}
+		if name := nameCell.FindStringSubmatch(strings.TrimSpace(cells[1])); name != nil {
+			rows[name[1]] = row{kind: cells[2], labels: cells[3]}
 		}
 	}
 	return rows
 }
 
-// TestMetricsAreListed: each metric stands in the operators' table with its sort and all of its labels, and nothing else does.
-func TestMetricsAreListed(t *testing.T) {
-	figures, rows := scrape(t), listed(t)
-	for _, found := range typeLine.FindAllStringSubmatch(figures, -1) {
-		name, sort := found[1], found[2]
+// TestMetricsAreDocumented: the table in docs/OPERATIONS.md has exactly the metrics that are exported, with
+// their type and all of their labels.
+func TestMetricsAreDocumented(t *testing.T) {
+	exported, rows := scrape(t), documented(t)
+	for _, found := range typeLine.FindAllStringSubmatch(exported, -1) {
+		name, kind := found[1], found[2]
 		r, ok := rows[name]
-		assert.Check(t, ok, "%s is not listed", name)
-		assert.Check(t, strings.Contains(r.sort, sort), "%s is a %s", name, sort)
-		for _, label := range labelsOf(figures, name) {
-			assert.Check(t, strings.Contains(r.labels, "`"+label+"`"), "%s: label %s is not listed", name, label)
+		assert.Check(t, ok, "%s is not documented", name)
+		assert.Check(t, strings.Contains(r.kind, kind), "%s is a %s", name, kind)
+		for _, label := range labelsOf(exported, name) {
+			assert.Check(t, strings.Contains(r.labels, "`"+label+"`"), "%s: label %s is not documented", name, label)
 		}
 		delete(rows, name)
 	}
-	assert.Equal(t, len(rows), 0, "listed, but there is no such metric: %v", rows)
+	assert.Equal(t, len(rows), 0, "documented, but not exported: %v", rows)
 }
 
-// labelsOf returns the names of the labels of a metric's samples, without those of the exporter.
-func labelsOf(figures, name string) []string {
+// labelsOf returns the label names of a metric's samples, without those that the exporter adds.
+func labelsOf(exported, name string) []string {
 	var labels []string
-	for line := range strings.Lines(figures) {
+	for line := range strings.Lines(exported) {
 		if !strings.HasPrefix(line, name+"{") && !strings.HasPrefix(line, name+"_count{") {
 			continue
 		}
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what the process does, with OpenTelemetry, and serves
-// the figures in Prometheus format.
+// Package metrics holds the OpenTelemetry instruments of a process and exports them in
+// Prometheus format.
 package metrics
 
 import (
@@ -54,29 +54,29 @@
 		group.Add(err)
 		return c
 	}
-	m.requests = counter("slatewind.requests", "Callers' requests by route and outcome.")
-	m.extras = counter("slatewind.extra_attempts", "Retries, hedges and hand-overs by service.")
-	m.dropped = counter("slatewind.dropped_replies", "Replies that were late, crossed or not whole.")
-	m.decisions = counter("slatewind.decisions", "Entries of the journal by kind.")
-	m.platform = counter("slatewind.platform_calls", "Calls to the platform by kind and result.")
-	m.denied = counter("slatewind.extra_attempts_denied", "Extra attempts that were not made, by service and cause.")
+	m.requests = counter("slatewind.requests", "Requests of callers, by route and outcome.")
+	m.extras = counter("slatewind.extra_attempts", "Retries, hedges and hand-overs, by service and kind.")
+	m.dropped = counter("slatewind.dropped_replies", "Replies discarded since they were late, belonged to another attempt or were corrupt, by service and reason.")
+	m.decisions = counter("slatewind.decisions", "Decisions in the journal, by kind.")
+	m.platform = counter("slatewind.platform_calls", "Calls to the platform, by kind and result.")
+	m.denied = counter("slatewind.extra_attempts_denied", "Retries, hedges and hand-overs that were not made, by service and cause.")
 	m.traffic = counter("slatewind.peer_bytes", "Bytes of messages between processes, by purpose and distance.")
-	m.entries = counter("slatewind.ignored_entries", "Entries in the platform's store that name no server, by the first field that is wrong.")
-	m.workspace = counter("slatewind.workspace_requests", "Requests that need a key, by workspace (those with the highest rates) and what was decided about the sender.")
-	m.refused = counter("slatewind.quarantined_requests", "Requests that were refused since servers ended while they ran them, by service.")
+	m.entries = counter("slatewind.ignored_entries", "Invalid server entries in the platform's store that were ignored, by the first invalid field.")
+	m.workspace = counter("slatewind.workspace_requests", "Requests that require a workspace key, by workspace (those with the highest rate limits) and admission.")
+	m.refused = counter("slatewind.quarantined_requests", "Requests refused by quarantine since servers crashed while running them, by service.")
 	m.duration, err = meter.Float64Histogram("slatewind.request.duration",
-		metric.WithDescription("Time from a request's arrival to its final answer."), metric.WithUnit("s"),
+		metric.WithDescription("Time from the arrival of a request to its final answer."), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(.001, .002, .004, .008, .016, .032, .064, .125, .25, .5, 1, 2, 4))
 	group.Add(err)
 	return m, Error.Wrap(group.Err())
 }
 
-// Handler serves the figures in Prometheus format.
+// Handler returns the handler that serves the metrics in Prometheus format.
 func (m *Metrics) Handler() http.Handler {
 	return m.handler
 }
 
-// Request counts a caller's request.
+// Request counts a request of a caller and records its duration.
 func (m *Metrics) Request(route string, outcome slatewind.Outcome, took time.Duration) {
 	ctx := context.Background()
 	labels := metric.WithAttributes(attribute.String("route", route), attribute.String("outcome", string(outcome)))
@@ -84,7 +84,7 @@
 	m.duration.Record(ctx, took.Seconds(), metric.WithAttributes(attribute.String("route", route)))
 }
 
-// Workspace counts a request that needs a key, by what was decided about its sender.
+// Workspace counts a request that requires a workspace key, by its admission.
 func (m *Metrics) Workspace(name string, admission outbound.Admission) {
 	m.workspace.Add(context.Background(), 1, metric.WithAttributes(attribute.String("workspace", name), attribute.String("admission", string(admission))))
 }
@@ -94,17 +94,18 @@
 	m.extras.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("why", why)))
 }
 
-// Denied counts an extra attempt that was not made.
+// Denied counts a retry, hedge or hand-over that was not made.
 func (m *Metrics) Denied(service, cause string) {
 	m.denied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("cause", cause)))
 }
 
-// Quarantined counts a request that was refused since servers ended under it.
+// Quarantined counts a request that was refused since servers crashed while running it.
 func (m *Metrics) Quarantined(service string) {
 	m.refused.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// EntryIgnored counts an entry in the platform's store that names no server.
+// EntryIgnored counts an invalid server entry in the platform's store; field is the first
+// invalid one.
 func (m *Metrics) EntryIgnored(field string) {
 	m.entries.Add(context.Background(), 1, metric.WithAttributes(attribute.String("field", field)))
 }
@@ -115,21 +116,21 @@
 		attribute.String("purpose", string(purpose)), attribute.String("distance", string(distance))))
 }
 
-// Dropped counts a reply that was not passed on.
+// Dropped counts a reply that was discarded.
 func (m *Metrics) Dropped(service, why string) {
 	m.dropped.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("why", why)))
 }
 
-// Decision counts an entry of the journal.
+// Decision counts a decision in the journal.
 func (m *Metrics) Decision(kind slatewind.DecisionKind) {
 	m.decisions.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", string(kind))))
 }
 
-// PlatformCall counts a call to the platform.
-func (m *Metrics) PlatformCall(what string, err error) {
+// PlatformCall counts a call to the platform; call is its kind and err its result.
+func (m *Metrics) PlatformCall(call string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
 	}
-	m.platform.Add(context.Background(), 1, metric.WithAttributes(attribute.String("call", what), attribute.String("result", result)))
+	m.platform.Add(context.Background(), 1, metric.WithAttributes(attribute.String("call", call), attribute.String("result", result)))
 }
