--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -249,8 +249,8 @@
 	p.ingress.MembersChanged(now)
 }
 
-// Heard implements gossip.Events.
-func (p *Process) Heard(now time.Time, digests []*slatewindv1.Digest) {
+// DigestsReceived implements gossip.Events.
+func (p *Process) DigestsReceived(now time.Time, digests []*slatewindv1.Digest) {
 	p.ingress.ApplyDigests(now, digests)
 }
 
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -15,7 +15,7 @@
 // newSuspects returns the quarantine table of a Process. New records are sent at once to the VMs
 // that have servers of the same services.
 func (p *Process) newSuspects() *quarantine.Table {
-	publish := func(records []quarantine.Record) { p.gossip.Tell(p.vmsOfSameServices(), link.SuspectsOf(records)) }
+	publish := func(records []quarantine.Record) { p.gossip.SendSuspects(p.vmsOfSameServices(), link.SuspectsOf(records)) }
 	recordQuarantine := func(digest quarantine.Digest, verdict quarantine.Verdict) {
 		p.journal.Add(verdict.Decision(time.Now(), digest))
 	}
@@ -54,7 +54,7 @@
 	return link.SuspectsOf(records[:min(len(records), maxGossipSuspects)])
 }
 
-// HeardSuspects implements gossip.Events.
-func (p *Process) HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect) {
+// SuspectsReceived implements gossip.Events.
+func (p *Process) SuspectsReceived(now time.Time, suspects []*slatewindv1.Suspect) {
 	p.suspects.Merge(now, link.RecordsOf(suspects))
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -55,9 +55,9 @@
 	SettingsChanged(now time.Time, snapshot *config.Snapshot)
 	// MembersChanged is called when the address or state of a VM may have changed.
 	MembersChanged(now time.Time)
-	// Heard is called with the digests received in an exchange, and with this process's own
-	// digests in each round.
-	Heard(now time.Time, digests []*slatewindv1.Digest)
+	// DigestsReceived is called with the digests received in an exchange, and with this
+	// process's own digests in each round.
+	DigestsReceived(now time.Time, digests []*slatewindv1.Digest)
 	// SelfLeaving is called when the platform's list shows this VM as leaving, whichever
 	// process read it.
 	SelfLeaving(now time.Time)
@@ -65,8 +65,8 @@
 	Digests(outcomes bool) []*slatewindv1.Digest
 	// Suspects returns what to send about requests during which servers crashed.
 	Suspects(now time.Time) []*slatewindv1.Suspect
-	// HeardSuspects is called with what other processes sent about such requests.
-	HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect)
+	// SuspectsReceived is called with what other processes sent about such requests.
+	SuspectsReceived(now time.Time, suspects []*slatewindv1.Suspect)
 }
 
 // Gossip owns the membership table of a process and exchanges state with other processes.
@@ -224,7 +224,7 @@
 // deliverOwnDigests passes the digests of this process's own servers to its ingress, as if
 // received from a peer.
 func (g *Gossip) deliverOwnDigests() {
-	g.events.Heard(time.Now(), g.events.Digests(true))
+	g.events.DigestsReceived(time.Now(), g.events.Digests(true))
 }
 
 // round starts an exchange with each of n random peers, or with the seeds if no peer is known.
@@ -287,7 +287,7 @@
 func (g *Gossip) exchangeWithin(ctx context.Context, address, vm string, modify func(*slatewindv1.SyncRequest)) {
 	now := time.Now()
 	g.mu.Lock()
-	g.table.Calling(vm)
+	g.table.CallStarted(vm)
 	g.mu.Unlock()
 	request := g.request(now, false)
 	modify(request)
@@ -300,7 +300,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.table.Contact(time.Now(), vm, true)
+	g.table.CallEnded(time.Now(), vm, true)
 	g.mu.Unlock()
 	g.receive(time.Now(), address, &slatewindv1.SyncRequest{
 		Self: reply.GetSelf(), Version: reply.GetVersion(), Members: reply.GetMembers(),
@@ -312,7 +312,7 @@
 func (g *Gossip) callFailed(vm string) {
 	now := time.Now()
 	g.mu.Lock()
-	gone := g.table.Contact(now, vm, false)
+	gone := g.table.CallEnded(now, vm, false)
 	g.mu.Unlock()
 	if gone {
 		g.journal.Add(slatewind.Decision{Time: now, Kind: slatewind.DecisionMember, Reason: "VM " + vm + " did not answer several calls in a row and counts as gone"})
@@ -340,9 +340,9 @@
 	}
 }
 
-// Tell starts an exchange with the processes of some VMs and adds suspects to it. They are
-// added explicitly, since an exchange sends only some of the suspects if there are many.
-func (g *Gossip) Tell(vms []string, suspects []*slatewindv1.Suspect) {
+// SendSuspects starts an exchange with the processes of some VMs and adds suspects to it. They
+// are added explicitly, since an exchange sends only some of the suspects if there are many.
+func (g *Gossip) SendSuspects(vms []string, suspects []*slatewindv1.Suspect) {
 	modify := func(request *slatewindv1.SyncRequest) { request.Suspects = append(request.Suspects, suspects...) }
 	for _, vm := range vms {
 		if address := g.Address(vm); address != "" {
@@ -371,8 +371,8 @@
 	if changed {
 		g.events.MembersChanged(now)
 	}
-	g.events.Heard(now, received.GetDigests())
-	g.events.HeardSuspects(now, received.GetSuspects())
+	g.events.DigestsReceived(now, received.GetDigests())
+	g.events.SuspectsReceived(now, received.GetSuspects())
 	g.Hint(address, config.VersionFromAPI(received.GetVersion()))
 }
 
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -144,30 +144,30 @@
 
 // The remaining methods of gossip.Events do nothing in these tests.
 
-func (n *node) SettingsChanged(time.Time, *config.Snapshot) {}
-func (n *node) MembersChanged(time.Time)                    {}
-func (n *node) Heard(time.Time, []*slatewindv1.Digest)      {}
-func (n *node) SelfLeaving(time.Time)                       { n.leaving++ }
-func (n *node) Digests(bool) []*slatewindv1.Digest          { return nil }
+func (n *node) SettingsChanged(time.Time, *config.Snapshot)      {}
+func (n *node) MembersChanged(time.Time)                         {}
+func (n *node) DigestsReceived(time.Time, []*slatewindv1.Digest) {}
+func (n *node) SelfLeaving(time.Time)                            { n.leaving++ }
+func (n *node) Digests(bool) []*slatewindv1.Digest               { return nil }
 
 // Suspects implements Events.
 func (n *node) Suspects(time.Time) []*slatewindv1.Suspect {
 	return link.SuspectsOf(n.suspects.Records(time.Now()))
 }
 
-// HeardSuspects implements Events.
-func (n *node) HeardSuspects(now time.Time, suspects []*slatewindv1.Suspect) {
+// SuspectsReceived implements Events.
+func (n *node) SuspectsReceived(now time.Time, suspects []*slatewindv1.Suspect) {
 	n.suspects.Merge(now, link.RecordsOf(suspects))
 }
 
-// TestSuspectsAreSent: suspects passed to Tell are sent with the exchange, even if the process
-// itself has no records.
+// TestSuspectsAreSent: suspects passed to SendSuspects are sent with the exchange, even if
+// the process itself has no records.
 func TestSuspectsAreSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		nodes := c.addAll(2)
 		time.Sleep(2 * time.Second)
-		nodes[0].gossip.Tell([]string{vmName(1)}, link.SuspectsOf([]quarantine.Record{{
+		nodes[0].gossip.SendSuspects([]string{vmName(1)}, link.SuspectsOf([]quarantine.Record{{
 			Digest: quarantine.Digest{2}, Events: []quarantine.Event{{ID: 1, Kind: quarantine.KindCrash}},
 		}}))
 		time.Sleep(50 * time.Millisecond)
@@ -175,15 +175,15 @@
 	})
 }
 
-// TestSuspectsSpread: records about the crash of a server reach the VMs given to Tell at
-// once, and all others with the next rounds.
+// TestSuspectsSpread: records about the crash of a server reach the VMs given to
+// SendSuspects at once, and all others with the next rounds.
 func TestSuspectsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		nodes := c.addAll(12)
 		time.Sleep(2 * time.Second)
 		nodes[0].suspects.ServerCrashed(time.Now(), quarantine.Crash{ID: 1, Digests: []quarantine.Digest{{1}}})
-		nodes[0].gossip.Tell([]string{vmName(1), vmName(2)}, nil)
+		nodes[0].gossip.SendSuspects([]string{vmName(1), vmName(2)}, nil)
 		time.Sleep(50 * time.Millisecond)
 		for _, n := range nodes[1:3] {
 			assert.Equal(t, len(n.suspects.Views(time.Now())), 1)
--- a/member/member.go
+++ b/member/member.go
@@ -31,12 +31,12 @@
 	Listed slatewind.VMState `json:"listed,omitempty"`
 	// Updated is when the entry last changed or was confirmed by a direct call.
 	Updated time.Time `json:"updated"`
-	// Noted is when the last change of the entry to be gossiped was recorded.
-	Noted time.Time `json:"noted"`
+	// Recorded is when the last change of the entry to be gossiped was recorded.
+	Recorded time.Time `json:"noted"`
 	// Failed is the number of consecutive calls without a reply.
 	Failed int `json:"failed,omitempty"`
-	// Waiting is the number of calls in progress.
-	Waiting int `json:"waiting,omitempty"`
+	// Pending is the number of calls in progress.
+	Pending int `json:"waiting,omitempty"`
 }
 
 // goneAfter is the number of consecutive failed calls after which a VM counts as gone.
@@ -158,7 +158,7 @@
 	}
 	received.Updated = now
 	received.Failed = 0
-	received.Waiting = known.Waiting
+	received.Pending = known.Pending
 	*known = received
 	t.recordChange(now, received.VM)
 	return true
@@ -268,21 +268,21 @@
 	}
 }
 
-// Calling records the start of a call to a VM. Contact records its end.
-func (t *Table) Calling(vm string) {
+// CallStarted records the start of a call to a VM. CallEnded records its end.
+func (t *Table) CallStarted(vm string) {
 	if e := t.entries[vm]; e != nil {
-		e.Waiting++
+		e.Pending++
 	}
 }
 
-// Contact records the end of a call to a VM and whether it got a reply. It returns true if
+// CallEnded records the end of a call to a VM and whether it got a reply. It returns true if
 // the VM counts as gone from now on.
-func (t *Table) Contact(now time.Time, vm string, reached bool) bool {
+func (t *Table) CallEnded(now time.Time, vm string, reached bool) bool {
 	e := t.entries[vm]
 	if e == nil || vm == t.self {
 		return false
 	}
-	e.Waiting = max(e.Waiting-1, 0)
+	e.Pending = max(e.Pending-1, 0)
 	if reached {
 		e.Failed = 0
 		e.Updated = now
@@ -301,7 +301,7 @@
 
 // recordChange moves a VM to the end of the list of changes.
 func (t *Table) recordChange(now time.Time, vm string) {
-	t.entries[vm].Noted = now
+	t.entries[vm].Recorded = now
 	for i, name := range t.changed {
 		if name == vm {
 			t.changed = append(t.changed[:i], t.changed[i+1:]...)
@@ -328,7 +328,7 @@
 	var recent []Entry
 	for i := len(t.changed) - 1; i >= 0 && len(recent) < n; i-- {
 		e := t.entries[t.changed[i]]
-		if e != nil && e.State != slatewind.VMGone && now.Sub(e.Noted) < gossipTime {
+		if e != nil && e.State != slatewind.VMGone && now.Sub(e.Recorded) < gossipTime {
 			recent = append(recent, *e)
 		}
 	}
@@ -371,7 +371,7 @@
 		if e.VM == t.self || e.PeerAddress == "" || !fits(e) || contains(chosen, e.VM) {
 			continue
 		}
-		if e.Failed == 0 && e.Waiting == 0 {
+		if e.Failed == 0 && e.Pending == 0 {
 			return append(chosen, *e)
 		}
 		unresponsive = e
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -104,7 +104,7 @@
 				table.Merge(begin, entry(other, 1, 1, slatewind.VMLive))
 			}
 			for range 3 {
-				table.Contact(begin, gone, false)
+				table.CallEnded(begin, gone, false)
 			}
 			all = append(all, table.ReaderRank())
 		}
@@ -134,7 +134,7 @@
 		vm := fmt.Sprint("vm-", i)
 		table.Merge(begin, entry(vm, 1, 1, slatewind.VMLive))
 		if i > 0 {
-			table.Contact(begin, vm, false)
+			table.CallEnded(begin, vm, false)
 		}
 	}
 	r := rand.New(rand.NewPCG(1, 1))
