--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -142,7 +142,7 @@
 	return callTo(ctx, n, address, request, (*gossip.Gossip).Fetch)
 }
 
-// The remaining methods of gossip.Events do nothing in these tests.
+// Of the following methods of gossip.Events, only SelfLeaving has an effect in these tests.
 
 func (n *node) SettingsChanged(time.Time, *config.Snapshot)      {}
 func (n *node) MembersChanged(time.Time)                         {}
