--- a/cmd/slatewindd/main.go
+++ b/cmd/slatewindd/main.go
@@ -67,7 +67,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	daemon.BoundGarbage()
+	daemon.SetInitialGCPercent()
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := daemon.NewLogWriter(ctx, os.Stdout)
 	defer lines.Wait()
--- a/daemon/gc.go
+++ b/daemon/gc.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// BoundGarbage sets the garbage collector's percentage for the start of a process, which is the
+// SetInitialGCPercent sets the garbage collector's percentage for the start of a process, which is the
 // lowest one, unless the environment variable GOGC is set.
-func BoundGarbage() {
+func SetInitialGCPercent() {
 	if !isGOGCSet() {
 		debug.SetGCPercent(minGCPercent)
 	}
