--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -9,16 +9,17 @@
 	"slatewind.example/slatewind/internal/explore"
 )
 
-// TestRun counts the states of a counter that may rise by one or two up to a bound.
+// TestRun explores a counter that may increase by one or two up to a bound. It checks the
+// number of states, and that the sequence to a violating state is a shortest one.
 func TestRun(t *testing.T) {
 	errFour := errors.New("four")
 	tests := map[string]struct {
-		bound, most int
-		want        explore.Result
+		bound, maxStates int
+		want             explore.Result
 	}{
-		"no state is broken":       {3, 100, explore.Result{States: 4}},
-		"the shortest way to one":  {9, 100, explore.Result{States: 6, Err: errFour, Events: []string{"two", "two"}}},
-		"more states than allowed": {3, 2, explore.Result{States: 3, Err: explore.ErrTooMany}},
+		"no violation":               {3, 100, explore.Result{States: 4}},
+		"shortest path to violation": {9, 100, explore.Result{States: 6, Err: errFour, Events: []string{"two", "two"}}},
+		"more states than allowed":   {3, 2, explore.Result{States: 3, Err: explore.ErrTooMany}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +39,7 @@
 					}
 					return nil
 				},
-				MaxStates: test.most,
+				MaxStates: test.maxStates,
 			}.Run()
 			assert.Equal(t, got.States, test.want.States)
 			assert.Assert(t, errors.Is(got.Err, test.want.Err), "%v", got)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,5 +1,6 @@
-// Package schedule runs events in virtual time, in the order of their times and
-// then of their making, so that the same events always run in the same order.
+// Package schedule runs events in virtual time. Events run in the order of their times,
+// and events of the same time in the order in which they were added, so that a
+// simulation is deterministic.
 package schedule
 
 import (
@@ -7,36 +8,37 @@
 	"time"
 )
 
-// Queue holds what is to be done and when.
+// Queue is a queue of events in virtual time. The zero value is an empty queue at time
+// zero. It is not safe for concurrent use.
 type Queue struct {
 	events events
-	serial int
+	seq    int
 	now    time.Duration
 }
 
 type event struct {
-	at     time.Duration
-	serial int
-	do     func()
+	at  time.Duration
+	seq int
+	fn  func()
 }
 
-// Now returns the time of the event that runs, since the beginning.
+// Now returns the virtual time of the event that is running or ran last, since the start.
 func (q *Queue) Now() time.Duration {
 	return q.now
 }
 
-// At has do called at a time since the beginning; a past time means now.
-func (q *Queue) At(at time.Duration, do func()) {
-	q.serial++
-	heap.Push(&q.events, event{at: max(at, q.now), serial: q.serial, do: do})
+// At schedules fn to run at a virtual time since the start. A time in the past means now.
+func (q *Queue) At(at time.Duration, fn func()) {
+	q.seq++
+	heap.Push(&q.events, event{at: max(at, q.now), seq: q.seq, fn: fn})
 }
 
-// After has do called when so much time has passed.
-func (q *Queue) After(d time.Duration, do func()) {
-	q.At(q.now+d, do)
+// After schedules fn to run after a delay from now.
+func (q *Queue) After(d time.Duration, fn func()) {
+	q.At(q.now+d, fn)
 }
 
-// Run runs all events up to end, and after each of them.
+// Run runs all events up to and including time end, and calls after following each of them.
 func (q *Queue) Run(end time.Duration, after func()) {
 	for len(q.events) > 0 {
 		next := heap.Pop(&q.events).(event)
@@ -44,7 +46,7 @@
 			return
 		}
 		q.now = next.at
-		next.do()
+		next.fn()
 		after()
 	}
 }
@@ -57,7 +59,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].serial < e[j].serial
+	return e[i].seq < e[j].seq
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,12 +1,12 @@
-// Package seeded fixes the seed of property tests, so that a run's verdict does
-// not depend on chance. Tests import it for its effect. A longer search goes by
-// flags, such as -rapid.checks=300000 -rapid.seed=7.
+// Package seeded fixes the seed and the number of checks of property tests, so that
+// the result of a run is deterministic. Test packages import it for this side effect.
+// Flags such as -rapid.checks=300000 -rapid.seed=7 override it for a longer search.
 package seeded
 
 import (
 	"flag"
 
-	// Registers the flags that are set here.
+	// Registers the flags that init sets.
 	_ "pgregory.net/rapid"
 )
 
--- a/internal/standin/compare.go
+++ b/internal/standin/compare.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Compare sends count requests to each URL, taking turns, one at a time, and
-// returns how long each took, sorted.
+// Compare sends count GET requests to each URL, alternating between the URLs and
+// one at a time. It returns the sorted durations by URL, in the order of urls.
 func Compare(count int, urls ...string) ([][]time.Duration, error) {
 	client := &http.Client{Timeout: callerTimeout}
 	took := make([][]time.Duration, len(urls))
 	for range count {
 		for i, url := range urls {
 			began := time.Now()
-			if err := ask(client, url); err != nil {
+			if err := get(client, url); err != nil {
 				return nil, err
 			}
 			took[i] = append(took[i], time.Since(began))
@@ -28,7 +28,7 @@
 	return took, nil
 }
 
-func ask(client *http.Client, url string) error {
+func get(client *http.Client, url string) error {
 	response, err := client.Get(url)
 	if err != nil {
 		return err
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// Quantile returns the q-th quantile of sorted times.
+// Quantile returns the q-quantile, with q from 0 to 1, of sorted durations, of which there
+// must be at least one.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
--- a/internal/standin/crasher.go
+++ b/internal/standin/crasher.go
@@ -8,42 +8,45 @@
 )
 
 const (
-	// crashWork is how long a server works on a deadly request before it ends.
+	// crashWork is how long a server works on a deadly request before it crashes.
 	crashWork = 20 * time.Millisecond
-	// crasherHeaderTime bounds how long a server waits for the head of a request.
+	// crasherHeaderTime is the time limit for reading the header of a request.
 	crasherHeaderTime = time.Second
 )
 
-// Crasher is a server process that some requests end: nothing listens at its address then, all
-// its connections are gone, and it starts again after a while.
+// Crasher is a stand-in for a server process that crashes while it runs certain (deadly)
+// requests. A crash closes its listener and all its connections; the server starts again at the
+// same address after a delay.
 type Crasher struct {
-	address string
-	handler http.Handler
-	deadly  func(*http.Request) bool
-	back    time.Duration
+	address      string
+	handler      http.Handler
+	deadly       func(*http.Request) bool
+	restartAfter time.Duration
 
+	// mu guards the fields below, and address, which start sets.
 	mu  sync.Mutex
 	web *http.Server
-	// listener is web's; one that has only just begun does not know it yet.
+	// listener is the listener of web. It is closed separately, since web knows it only once
+	// Serve has begun.
 	listener net.Listener
-	// mended servers end under no request.
-	mended bool
-	// deaths are the times at which deadly requests began to run.
-	deaths []time.Time
-	closed bool
+	// repaired is set once the server no longer crashes on deadly requests.
+	repaired bool
+	// crashes holds the times at which deadly requests began to run.
+	crashes []time.Time
+	closed  bool
 }
 
-// NewCrasher starts a server at an address. It ends under deadly requests and is back after a
-// time; all others go to the handler.
-func NewCrasher(address string, handler http.Handler, deadly func(*http.Request) bool, back time.Duration) (*Crasher, error) {
-	c := &Crasher{address: address, handler: handler, deadly: deadly, back: back}
+// NewCrasher starts a server at an address. The server crashes on requests for which deadly
+// returns true and restarts after a delay; handler answers all other requests.
+func NewCrasher(address string, handler http.Handler, deadly func(*http.Request) bool, restartAfter time.Duration) (*Crasher, error) {
+	c := &Crasher{address: address, handler: handler, deadly: deadly, restartAfter: restartAfter}
 	if err := c.start(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// start listens at the address.
+// start starts the server at its address, unless it is running or closed for good.
 func (c *Crasher) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +64,7 @@
 	return nil
 }
 
-// Address returns where the server listens.
+// Address returns the address (IP:port) of the server.
 func (c *Crasher) Address() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +73,7 @@
 
 // ServeHTTP implements http.Handler.
 func (c *Crasher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !c.dies(r) {
+	if !c.crashesOn(r) {
 		c.handler.ServeHTTP(w, r)
 		return
 	}
@@ -78,25 +81,26 @@
 	c.Crash()
 }
 
-// dies reports whether the server ends under a request, and counts it.
-func (c *Crasher) dies(r *http.Request) bool {
+// crashesOn reports whether a request crashes the server, and records the time if so.
+func (c *Crasher) crashesOn(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.mended || !c.deadly(r) {
+	if c.repaired || !c.deadly(r) {
 		return false
 	}
-	c.deaths = append(c.deaths, time.Now())
+	c.crashes = append(c.crashes, time.Now())
 	return true
 }
 
-// Mend has no request end the server any more.
+// Mend makes the server answer deadly requests like all others from now on.
 func (c *Crasher) Mend() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mended = true
+	c.repaired = true
 }
 
-// Crash ends the server, which starts again after its time.
+// Crash closes the listener and all connections. The server starts again after its delay,
+// unless it was closed for good.
 func (c *Crasher) Crash() {
 	c.mu.Lock()
 	web, listener := c.web, c.listener
@@ -109,11 +113,11 @@
 	_ = web.Close()
 	_ = listener.Close()
 	if !closed {
-		time.AfterFunc(c.back, func() { _ = c.start() })
+		time.AfterFunc(c.restartAfter, func() { _ = c.start() })
 	}
 }
 
-// Close ends the server for good.
+// Close stops the server for good.
 func (c *Crasher) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -121,9 +125,9 @@
 	c.Crash()
 }
 
-// Deaths returns when deadly requests began to run.
+// Deaths returns the times at which deadly requests began to run.
 func (c *Crasher) Deaths() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]time.Time(nil), c.deaths...)
+	return append([]time.Time(nil), c.crashes...)
 }
--- a/internal/standin/drive.go
+++ b/internal/standin/drive.go
@@ -15,30 +15,33 @@
 	"slatewind.example/slatewind/ingress"
 )
 
-// Target is one kind of request that a driver sends.
+// Target describes a kind of request that a driver sends.
 type Target struct {
 	Method string
 	Path   string
-	Once   bool
-	// Share of all requests.
+	// Once sends an idempotency key, with retries.
+	Once bool
+	// Share is the share of all requests, from 0 to 1.
 	Share float64
 }
 
-// Counts is what became of the requests that callers sent.
+// Counts holds the results of the requests that callers sent.
 type Counts struct {
 	Requests atomic.Int64
-	// Whole answers that belong to their request.
+	// Whole counts complete answers that belong to their request.
 	Whole atomic.Int64
-	// Wrong answers: another's, or cut short but ended as if complete.
+	// Wrong counts answers that belong to another request, or that are truncated
+	// but ended as if complete.
 	Wrong   atomic.Int64
 	NotRun  atomic.Int64
 	Unknown atomic.Int64
-	// Failed requests got a plain failure: a cut connection or an error status.
+	// Failed counts requests that got no outcome but a broken connection or an error
+	// status.
 	Failed atomic.Int64
 }
 
-// Driver stands in for callers: it sends requests to ingresses, retries as
-// callers do, and counts what came back.
+// Driver is a stand-in for callers. It sends requests to ingresses, retries as
+// callers do, and counts the results.
 type Driver struct {
 	Ingresses []string
 	Targets   []Target
@@ -51,15 +54,16 @@
 	client http.Client
 	sent   atomic.Int64
 
+	// mu guards notes.
 	mu    sync.Mutex
 	notes []string
 }
 
-// maxNotes bounds how many answers that were not whole are kept.
+// maxNotes is the maximum number of notes that a driver keeps.
 const maxNotes = 20
 
-// Notes returns what callers were told in place of a whole answer, the first
-// few times.
+// Notes returns descriptions of the first maxNotes attempts that got no complete
+// answer.
 func (d *Driver) Notes() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,15 +79,15 @@
 }
 
 const (
-	// callerTimeout is how long a caller waits for one answer.
+	// callerTimeout is the time limit for one attempt of a caller.
 	callerTimeout = 5 * time.Second
-	// callerAttempts is how often a caller tries a once-request.
+	// callerAttempts is the maximum number of attempts for a request of kind once.
 	callerAttempts = 3
-	// customers is the number of customers whose requests are mixed.
+	// customers is the number of customers that send requests.
 	customers = 20
 )
 
-// Run sends requests until ctx ends and waits for their answers.
+// Run sends requests until ctx ends and waits until the last are answered.
 func (d *Driver) Run(ctx context.Context) {
 	d.client.Timeout = callerTimeout
 	d.client.Transport = &http.Transport{MaxIdleConnsPerHost: customers}
@@ -96,13 +100,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			group.Go(d.one)
+			group.Go(d.sendOne)
 		}
 	}
 }
 
-func (d *Driver) one() {
-	target := d.pick()
+func (d *Driver) sendOne() {
+	target := d.pickTarget()
 	nonce := fmt.Sprintf("n%d", d.sent.Add(1))
 	key := ""
 	if target.Once {
@@ -119,7 +123,7 @@
 	}
 }
 
-func (d *Driver) pick() Target {
+func (d *Driver) pickTarget() Target {
 	at := rand.Float64()
 	for _, target := range d.Targets {
 		if at -= target.Share; at < 0 {
@@ -129,7 +133,7 @@
 	return d.Targets[len(d.Targets)-1]
 }
 
-// Outcomes that only a caller sees.
+// Outcomes that exist only in the view of a caller.
 const (
 	outcomeWrong  slatewind.Outcome = "wrong"
 	outcomeFailed slatewind.Outcome = "failed"
@@ -162,7 +166,7 @@
 	}
 	r.Header.Set(ingress.HeaderCustomer, fmt.Sprintf("customer-%d", rand.IntN(customers)))
 	if key != "" {
-		// The customer is part of a key's scope, so a retry keeps it.
+		// The customer is part of the scope of a key, so retries must send the same one.
 		r.Header.Set(ingress.HeaderCustomer, "customer-of-"+key)
 		r.Header.Set(ingress.HeaderKey, key)
 		r.Header.Set(ingress.HeaderAttempt, fmt.Sprint(n))
@@ -174,7 +178,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	outcome := judge(response, string(body), nonce, err)
+	outcome := classify(response, string(body), nonce, err)
 	if outcome != slatewind.OutcomeAnswer {
 		d.note("%s attempt %d at %s: request %s: %s: %s", nonce, n, address,
 			response.Header.Get(ingress.HeaderRequest), outcome, strings.TrimSpace(string(body)))
@@ -182,8 +186,8 @@
 	return outcome
 }
 
-// judge says what a caller makes of an answer.
-func judge(response *http.Response, body, nonce string, err error) slatewind.Outcome {
+// classify returns the outcome of an attempt in the view of its caller.
+func classify(response *http.Response, body, nonce string, err error) slatewind.Outcome {
 	if outcome := response.Header.Get(ingress.HeaderOutcome); outcome != "" {
 		return slatewind.Outcome(outcome)
 	}
--- a/internal/standin/entries.go
+++ b/internal/standin/entries.go
@@ -5,32 +5,33 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// Spoilt is how an entry of the store names no server, as another writer may leave one.
+// Spoilt is a way in which a server entry of the store is invalid. Other writers of the store
+// may leave such entries.
 type Spoilt string
 
-// Ways in which an entry names no server.
+// Kinds of invalid entries.
 const (
-	// SpoiltBytes cannot be read at all.
+	// SpoiltBytes is not JSON.
 	SpoiltBytes Spoilt = "bytes"
-	// SpoiltCut ends too early.
+	// SpoiltCut is truncated.
 	SpoiltCut Spoilt = "cut"
-	// SpoiltFields lacks fields.
+	// SpoiltFields lacks required fields.
 	SpoiltFields Spoilt = "fields"
-	// SpoiltType has a number for an address.
+	// SpoiltType has a number as the address.
 	SpoiltType Spoilt = "type"
-	// SpoiltState has a state that is none.
+	// SpoiltState has an unknown state.
 	SpoiltState Spoilt = "state"
-	// SpoiltSlots has a number of slots below zero.
+	// SpoiltSlots has a negative number of slots.
 	SpoiltSlots Spoilt = "slots"
-	// SpoiltStart has a start that is no whole number.
+	// SpoiltStart has a start time that is not an integer.
 	SpoiltStart Spoilt = "start"
 )
 
-// AllSpoilt are the ways in which an entry names no server.
+// AllSpoilt lists the kinds of invalid entries.
 var AllSpoilt = []Spoilt{SpoiltBytes, SpoiltCut, SpoiltFields, SpoiltType, SpoiltState, SpoiltSlots, SpoiltStart}
 
-// spoilt holds the values; a cut one is made of a sound entry.
-var spoilt = map[Spoilt]string{
+// invalidEntries holds the invalid values. The value of SpoiltCut is derived from a valid entry.
+var invalidEntries = map[Spoilt]string{
 	SpoiltBytes:  "\xff\xfe\x00",
 	SpoiltFields: `{"Service":"svc","State":"ready"}`,
 	SpoiltType:   `{"Service":"svc","Address":7,"Zone":"dc","Version":"","Slots":4,"State":"ready","ColdRemainingMs":0,"Seq":1}`,
@@ -39,23 +40,23 @@
 	SpoiltStart:  `{"Service":"svc","Address":"10.0.0.9:80","Zone":"dc","Version":"","Slots":4,"State":"ready","ColdRemainingMs":0,"Seq":1,"born":1.5}`,
 }
 
-// Enter writes the entry of a server as the server does. One of an older start is a write
-// that came late.
+// Enter writes the entry of a server as the server does, and returns its revision. An entry of
+// an older start of the server simulates a delayed write.
 func (p *Platform) Enter(entry slatewind.ServerEntry) uint64 {
-	return p.Put(platform.ServersPrefix+entry.Name, encoded(entry))
+	return p.Put(platform.ServersPrefix+entry.Name, mustEncode(entry))
 }
 
-// Spoil overwrites the entry of a server with one that names none.
+// Spoil overwrites the entry of a server with an invalid one and returns its revision.
 func (p *Platform) Spoil(entry slatewind.ServerEntry, how Spoilt) uint64 {
-	value := []byte(spoilt[how])
+	value := []byte(invalidEntries[how])
 	if how == SpoiltCut {
-		value = encoded(entry)
+		value = mustEncode(entry)
 		value = value[:len(value)/2]
 	}
 	return p.Put(platform.ServersPrefix+entry.Name, value)
 }
 
-func encoded(entry slatewind.ServerEntry) []byte {
+func mustEncode(entry slatewind.ServerEntry) []byte {
 	value, err := platform.EncodeServer(entry)
 	if err != nil {
 		panic(err)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what slatewind meets outside: the
-// users' platform and their backend servers. They can be made to fail, and they
-// count what was asked of them.
+// Package standin holds simple stand-ins for the external systems of slatewind: the
+// platform of the users, their backend servers and their callers. Failures can be
+// injected into the platform and the servers, which count the calls that they get.
 package standin
 
 import (
@@ -14,7 +14,7 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// PlatformMode is how the platform behaves.
+// PlatformMode is the behaviour of the platform.
 type PlatformMode string
 
 // Modes of the platform.
@@ -22,53 +22,56 @@
 	PlatformOK PlatformMode = "ok"
 	// PlatformDown answers every call with an error.
 	PlatformDown PlatformMode = "down"
-	// PlatformStale goes on with what it had when it became stale.
+	// PlatformStale answers from a snapshot of the time at which it became stale.
 	PlatformStale PlatformMode = "stale"
-	// PlatformSlow answers late.
+	// PlatformSlow delays every answer by slowAnswer.
 	PlatformSlow PlatformMode = "slow"
 	// PlatformBusy answers every call with status 429.
 	PlatformBusy PlatformMode = "busy"
 )
 
 const (
-	// slowAnswer is how late a slow platform answers.
+	// slowAnswer is the delay of the answers of a slow platform.
 	slowAnswer = 3 * time.Second
-	// maxWait is the longest that a watch may wait.
+	// maxWait is the maximum time that a watch may wait.
 	maxWait = 30 * time.Second
-	// pageItems is how many items a range answers at most.
+	// pageItems is the maximum number of items in the answer to a range call.
 	pageItems = 500
 )
 
-// Platform is a stand-in for the platform's store: a map with revisions that
-// can be read by key, by prefix and by watches.
+// Platform is a stand-in for the platform's store: a map with revisions that can be
+// read by key, by prefix and by watches. It is safe for concurrent use.
 type Platform struct {
+	// mu guards all fields.
 	mu   sync.Mutex
 	mode PlatformMode
-	// era counts how often the store was restored from a copy.
+	// era is the number of times the store was restored from a copy.
 	era uint64
 	contents
-	// stale is what a stale platform answers from.
-	stale   []platform.Item
+	// stale holds the items that a stale platform answers with.
+	stale []platform.Item
+	// changed is closed and replaced at each change.
 	changed chan struct{}
-	calls   map[string]int
+	// calls counts the calls by name.
+	calls map[string]int
 }
 
-// contents is what a store loses where it is restored from a copy.
+// contents is the part of a store that a restore from a copy replaces.
 type contents struct {
 	revision uint64
 	items    map[string]platform.Item
-	// history holds every change after the revision forgotten, oldest first.
+	// history holds every change after the revision compacted, oldest first.
 	history   []platform.Item
-	forgotten uint64
+	compacted uint64
 }
 
-// clone returns contents that no later change reaches.
+// clone returns a copy that shares no map or slice with c.
 func (c contents) clone() contents {
 	c.items, c.history = maps.Clone(c.items), slices.Clone(c.history)
 	return c
 }
 
-// Copy is the contents of a store at one moment.
+// Copy is a backup of the contents of a store.
 type Copy struct{ contents }
 
 // NewPlatform returns an empty store.
@@ -78,30 +81,30 @@
 	}
 }
 
-// Copy returns a copy of the store.
+// Copy returns a backup of the store.
 func (p *Platform) Copy() Copy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Copy{p.clone()}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and its
-// revisions are given out again, in the next era. Watches that wait look again.
+// Restore replaces the contents of the store by a copy and begins the next era. Later writes
+// are lost, and their revisions are assigned again. Waiting watches end.
 func (p *Platform) Restore(from Copy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.era++
 	p.contents = from.clone()
-	p.wake()
+	p.notifyWatches()
 }
 
-// wake has waiting watches look again. The lock is held.
-func (p *Platform) wake() {
+// notifyWatches makes waiting watches check for changes. p.mu must be held.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Revision returns the newest revision.
+// Revision returns the latest revision.
 func (p *Platform) Revision() slatewind.Revision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +116,7 @@
 	return p.change(platform.Item{Key: key, Value: value})
 }
 
-// Delete takes a key away.
+// Delete removes a key and returns the revision.
 func (p *Platform) Delete(key string) uint64 {
 	return p.change(platform.Item{Key: key, Deleted: true})
 }
@@ -134,24 +137,24 @@
 	} else {
 		p.items[item.Key] = item
 	}
-	p.wake()
+	p.notifyWatches()
 	return p.revision
 }
 
-// Compact forgets the history; watches from before get status 410.
+// Compact drops the history. Watches from an earlier revision get status 410.
 func (p *Platform) Compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forgotten = p.revision
+	p.compacted = p.revision
 	p.history = nil
 }
 
-// Publish puts out a new revision of the operators' file and returns it.
+// Publish writes the operators' file and returns its revision.
 func (p *Platform) Publish(text []byte) uint64 {
 	return p.Put(platform.FileKey, text)
 }
 
-// SetVM puts a VM on the list; state VMGone takes it off.
+// SetVM adds a VM to the VM list or replaces its entry; state VMGone removes it.
 func (p *Platform) SetVM(vm slatewind.VM) {
 	key := platform.VMsPrefix + vm.Name
 	if vm.State == slatewind.VMGone {
@@ -165,17 +168,17 @@
 	p.Put(key, value)
 }
 
-// SetMode changes how the platform behaves.
+// SetMode changes the behaviour of the platform.
 func (p *Platform) SetMode(mode PlatformMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode == PlatformStale && p.mode != PlatformStale {
-		p.stale = sorted(p.items, "")
+		p.stale = sortedItems(p.items, "")
 	}
 	p.mode = mode
 }
 
-// Calls returns how often each call was made.
+// Calls returns the number of calls by name.
 func (p *Platform) Calls() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/restore_test.go
+++ b/internal/standin/restore_test.go
@@ -13,7 +13,7 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// watch asks a store for what changed after a revision.
+// watch requests the changes of a store after a revision.
 func watch(t *testing.T, store *Platform, after uint64) (status int, era string, keys []string) {
 	t.Helper()
 	r := httptest.NewRequest(http.MethodGet, fmt.Sprintf("%s?%s=%d&%s=0", platform.PathWatch, platform.ParamAfter, after, platform.ParamWait), nil)
@@ -29,15 +29,15 @@
 	return w.Code, w.Header().Get(platform.HeaderEra), keys
 }
 
-// TestRestore: a restored store lacks what came after the copy, gives its revisions out again
-// and states the next era, also in answers that fail.
+// TestRestore checks that a restored store lacks the writes after the copy, assigns their
+// revisions again, and sends the next era, in error responses too.
 func TestRestore(t *testing.T) {
 	store := NewPlatform()
 	store.Put("a", nil)
-	taken := store.Copy()
+	backup := store.Copy()
 	store.Put("b", nil)
 	store.Put("c", nil)
-	store.Restore(taken)
+	store.Restore(backup)
 	assert.Equal(t, store.Revision(), slatewind.Revision{Era: 1, Number: 1})
 
 	status, era, _ := watch(t, store, 3)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,7 +16,7 @@
 	"slatewind.example/slatewind/sidecar"
 )
 
-// Fault is a gray fault of a server.
+// Fault is a gray failure of a server.
 type Fault string
 
 // Faults of servers.
@@ -24,69 +24,74 @@
 	FaultNone Fault = ""
 	// FaultSlow multiplies service times by Factor.
 	FaultSlow Fault = "slow"
-	// FaultHang answers nothing.
+	// FaultHang never answers.
 	FaultHang Fault = "hang"
-	// FaultErrors answers every request with an error.
+	// FaultErrors answers every request with status 500.
 	FaultErrors Fault = "errors"
-	// FaultSomeCallers answers about a third of the customers with errors.
+	// FaultSomeCallers answers about a third of the customers with status 500.
 	FaultSomeCallers Fault = "some-callers"
-	// FaultTruncate breaks off in the middle of each answer.
+	// FaultTruncate closes the connection in the middle of each answer.
 	FaultTruncate Fault = "truncate"
-	// FaultCrossed gives each request the answer of the one before.
+	// FaultCrossed sends each request the answer of the previous one.
 	FaultCrossed Fault = "crossed"
-	// FaultDropAnswer runs each request and closes the connection.
+	// FaultDropAnswer runs each request and closes the connection without an answer.
 	FaultDropAnswer Fault = "drop-answer"
 )
 
-// Header fields of the stand-in's own.
+// Header fields of requests that only the stand-in uses.
 const (
-	// HeaderNonce is repeated in the answer's body, to tell whose it is.
+	// HeaderNonce identifies a request. The body of the answer repeats it.
 	HeaderNonce = "Nonce"
-	// HeaderPad asks for an answer with so many bytes of padding.
+	// HeaderPad is the number of bytes of padding in the body of the answer.
 	HeaderPad = "Pad"
 )
 
-// Marks of an answer's body.
+// Markers at the start and the end of the body of an answer.
 const (
 	bodyBegin = "begin"
 	bodyEnd   = "end\n"
 )
 
-// coldTime is how long a started server is slower, and coldFactor by how much
-// at first.
+// After a cold start, service times are multiplied by coldFactor, decreasing linearly to
+// 1 over coldTime.
 const (
 	coldTime   = 3 * time.Second
 	coldFactor = 4
 )
 
-// Server is a stand-in for a backend server.
+// Server is a stand-in for a backend server. It is safe for concurrent use.
 type Server struct {
 	name    string
 	slots   chan struct{}
-	mean    time.Duration
+	median  time.Duration
 	spread  float64
 	started time.Time
 
-	mu       sync.Mutex
-	fault    Fault
-	factor   float64
-	draining bool
-	sick     bool
-	runs     map[string]int
-	total    int
-	last     string
+	// mu guards the fields below, and started.
+	mu        sync.Mutex
+	fault     Fault
+	factor    float64
+	draining  bool
+	unhealthy bool
+	// runs counts the runs by idempotency key, total all runs.
+	runs  map[string]int
+	total int
+	// last is the attempt id and, on the next line, the body of the previous answer, for
+	// FaultCrossed.
+	last string
 }
 
-// NewServer returns a server with so many slots whose service times have the
-// given median and spread of the log.
+// NewServer returns a server with a number of slots. Its service times are
+// log-normally distributed with the given median; spread is the standard deviation of
+// their logarithm.
 func NewServer(name string, slots int, median time.Duration, spread float64) *Server {
 	return &Server{
-		name: name, slots: make(chan struct{}, slots), mean: median, spread: spread,
+		name: name, slots: make(chan struct{}, slots), median: median, spread: spread,
 		runs: map[string]int{}, factor: 1,
 	}
 }
 
-// SetFault makes the server fail; factor counts for FaultSlow.
+// SetFault sets the fault of the server. Only FaultSlow uses factor.
 func (s *Server) SetFault(fault Fault, factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,21 +99,21 @@
 	s.factor = factor
 }
 
-// SetDraining has the server say that it takes no new work.
+// SetDraining sets whether health probes report that the server accepts no new work.
 func (s *Server) SetDraining(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = draining
 }
 
-// ColdStart makes the server slow for a while, as after a start.
+// ColdStart makes the server slower for coldTime, as after a start.
 func (s *Server) ColdStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = time.Now()
 }
 
-// Runs returns how often the request of each key was run.
+// Runs returns the number of runs by idempotency key.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,15 +124,15 @@
 	return runs
 }
 
-// Total returns how many requests were run in all.
+// Total returns the number of requests that were run.
 func (s *Server) Total() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Handler returns the server's HTTP interface. Paths under /control are for
-// whoever makes it fail.
+// Handler returns the HTTP interface of the server. Paths under /control inject
+// failures and read counters.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/health", s.health)
@@ -142,7 +147,7 @@
 	router.HandleFunc("/control/health", func(_ http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.sick = r.URL.Query().Get("sick") != ""
+		s.unhealthy = r.URL.Query().Get("sick") != ""
 	}).Methods(http.MethodPost)
 	router.HandleFunc("/control/runs", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(s.Runs())
@@ -151,7 +156,7 @@
 	return router
 }
 
-// probeTime is what a probe costs the server.
+// probeTime is the service time of a health probe.
 const probeTime = 25 * time.Millisecond
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
@@ -161,18 +166,18 @@
 	if s.draining {
 		w.Header().Set(sidecar.HeaderDraining, "true")
 	}
-	if s.sick {
+	if s.unhealthy {
 		http.Error(w, "sick", http.StatusInternalServerError)
 		return
 	}
 	_, _ = fmt.Fprintf(w, "in_use=%d slots=%d\n", len(s.slots), cap(s.slots))
 }
 
-// serve runs one request under the fault of the moment.
+// serve runs a request with the current fault.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
-	fault, took := s.enter(r)
+	fault, took := s.beginRun(r)
 	if fault == FaultHang {
 		<-r.Context().Done()
 		return
@@ -187,15 +192,15 @@
 	s.answer(w, r, fault)
 }
 
-// enter records the run and returns the fault and the service time.
-func (s *Server) enter(r *http.Request) (Fault, time.Duration) {
+// beginRun counts a run and returns the current fault and the service time of the run.
+func (s *Server) beginRun(r *http.Request) (Fault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total++
 	if key := r.Header.Get("Idempotency-Key"); key != "" {
 		s.runs[key]++
 	}
-	took := float64(s.mean) * math.Exp(s.spread*rand.NormFloat64())
+	took := float64(s.median) * math.Exp(s.spread*rand.NormFloat64())
 	if s.fault == FaultSlow {
 		took *= s.factor
 	}
@@ -212,7 +217,7 @@
 	case FaultErrors:
 		http.Error(w, "broken", http.StatusInternalServerError)
 	case FaultSomeCallers:
-		if unlucky(r.Header.Get("Slatewind-Customer")) {
+		if failsCustomer(r.Header.Get("Slatewind-Customer")) {
 			http.Error(w, "broken for you", http.StatusInternalServerError)
 			return
 		}
@@ -230,7 +235,7 @@
 	}
 }
 
-// answerCrossed gives the answer, and the attempt id, of the request before.
+// answerCrossed sends the answer and the attempt id of the previous request.
 func (s *Server) answerCrossed(w http.ResponseWriter, r *http.Request, body string) {
 	s.mu.Lock()
 	last := s.last
@@ -257,7 +262,7 @@
 	return fmt.Sprintf("%s server=%s nonce=%s %s %s", bodyBegin, s.name, r.Header.Get(HeaderNonce), filler, bodyEnd)
 }
 
-func unlucky(customer string) bool {
+func failsCustomer(customer string) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(customer))
 	const share = 3
--- a/internal/standin/stamped.go
+++ b/internal/standin/stamped.go
@@ -12,53 +12,56 @@
 	"slatewind.example/slatewind"
 )
 
-// StampedMode is how a stamped server behaves.
+// StampedMode is the behaviour of a stamped server.
 type StampedMode string
 
 // Modes of a stamped server.
 const (
 	StampedOK StampedMode = ""
-	// StampedReset closes each connection without an answer, and runs nothing.
+	// StampedReset resets each connection without running the request.
 	StampedReset StampedMode = "reset"
-	// StampedLost runs each request and resets its connection.
+	// StampedLost runs each request and resets its connection without an answer.
 	StampedLost StampedMode = "lost"
-	// StampedError answers each request with an error of its own.
+	// StampedError runs each request and answers it with status 500.
 	StampedError StampedMode = "error"
-	// StampedShed rejects each request without running it.
+	// StampedShed rejects each request with status 503 without running it.
 	StampedShed StampedMode = "shed"
-	// StampedHang answers nothing while it lasts.
+	// StampedHang holds each request until SetMode changes the mode, and then answers it.
 	StampedHang StampedMode = "hang"
-	// StampedHeldError answers with an error of its own once it is let go.
+	// StampedHeldError holds each request like StampedHang and then answers with status 500.
 	StampedHeldError StampedMode = "held-error"
-	// StampedCut breaks off in the middle of each answer.
+	// StampedCut truncates each answer in the middle of its body.
 	StampedCut StampedMode = "cut"
 )
 
-// Stamped is a stand-in for a backend server that signs its answers, checks who
-// is meant and counts what it runs.
+// Stamped is a stand-in for a backend server that identifies itself in its answers,
+// rejects requests that are addressed to another server, and counts what it runs. It is
+// safe for concurrent use.
 type Stamped struct {
-	dialect slatewind.ServerHeaders
-	name    string
+	headerNames slatewind.ServerHeaders
+	name        string
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	mode  StampedMode
 	delay time.Duration
-	// runs counts runs by request id, arrivals everything that came; headers holds by request
-	// id what came with its newest arrival.
+	// runs counts the runs by request id, arrivals all requests, run or not. headers holds the
+	// header of the latest arrival by request id.
 	runs     map[string]int
 	headers  map[string]http.Header
 	arrivals int
-	release  chan struct{}
-	// crashed is closed when the start that has the request ends.
+	// release is closed and replaced to release held requests.
+	release chan struct{}
+	// crashed is closed and replaced at a restart, which ends the requests in progress.
 	crashed chan struct{}
 }
 
-// NewStamped returns a server with a name.
-func NewStamped(name string, dialect slatewind.ServerHeaders) *Stamped {
-	return &Stamped{dialect: dialect, name: name, runs: map[string]int{}, headers: map[string]http.Header{}, release: make(chan struct{}), crashed: make(chan struct{})}
+// NewStamped returns a server with a name and the names of its header fields.
+func NewStamped(name string, headerNames slatewind.ServerHeaders) *Stamped {
+	return &Stamped{headerNames: headerNames, name: name, runs: map[string]int{}, headers: map[string]http.Header{}, release: make(chan struct{}), crashed: make(chan struct{})}
 }
 
-// SetMode changes how the server behaves; requests that hang are let go.
+// SetMode changes the mode and releases held requests.
 func (s *Stamped) SetMode(mode StampedMode) {
 	s.Turn(mode)
 	s.mu.Lock()
@@ -67,8 +70,8 @@
 	s.release = make(chan struct{})
 }
 
-// Restart has the server crash and start again under its name. It resets the connections of
-// the requests that it has, and knows nothing of them. What was run stays counted.
+// Restart simulates a crash and a restart under the same name. The connections of requests in
+// progress are reset. The counts of runs are kept.
 func (s *Stamped) Restart() {
 	s.Turn(StampedOK)
 	s.mu.Lock()
@@ -77,22 +80,21 @@
 	s.crashed = make(chan struct{})
 }
 
-// Turn changes how the server behaves towards requests that come from now on;
-// those that hang go on hanging.
+// Turn changes the mode for later requests. Held requests remain held.
 func (s *Stamped) Turn(mode StampedMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
 }
 
-// SetDelay sets how long a request takes.
+// SetDelay sets the service time of requests.
 func (s *Stamped) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
 }
 
-// Runs returns how often each request was run.
+// Runs returns the number of runs by request id.
 func (s *Stamped) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,14 +105,14 @@
 	return runs
 }
 
-// Arrivals returns how many requests came, run or not.
+// Arrivals returns the number of requests that arrived, run or not.
 func (s *Stamped) Arrivals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.arrivals
 }
 
-// Headers returns the header fields that came with a request, or nil.
+// Headers returns the header of the latest arrival of a request, or nil if there was none.
 func (s *Stamped) Headers(id string) http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,9 +121,9 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Stamped) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(s.dialect.RequestID)
-	w.Header().Set(s.dialect.RequestID, id)
-	w.Header().Set(s.dialect.Identity, s.name)
+	id := r.Header.Get(s.headerNames.RequestID)
+	w.Header().Set(s.headerNames.RequestID, id)
+	w.Header().Set(s.headerNames.Identity, s.name)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -130,7 +132,7 @@
 	s.arrivals++
 	s.headers[id] = r.Header.Clone()
 	mode, delay, release, crashed := s.mode, s.delay, s.release, s.crashed
-	expected := r.Header.Get(s.dialect.Expect)
+	expected := r.Header.Get(s.headerNames.Expect)
 	misdirected := expected != "" && expected != s.name
 	if !misdirected && mode != StampedReset && mode != StampedShed {
 		s.runs[id]++
@@ -153,7 +155,7 @@
 	}
 	select {
 	case <-crashed:
-		reset(w)
+		resetConnection(w)
 	default:
 		s.answer(w, r, mode, body)
 	}
@@ -162,14 +164,14 @@
 func (s *Stamped) answer(w http.ResponseWriter, r *http.Request, mode StampedMode, body []byte) {
 	switch mode {
 	case StampedReset, StampedLost:
-		reset(w)
+		resetConnection(w)
 		return
 	case StampedShed:
-		w.Header().Set(s.dialect.NotExecuted, "1")
+		w.Header().Set(s.headerNames.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set(s.dialect.Stamp, s.name+"-stamp")
+	w.Header().Set(s.headerNames.Stamp, s.name+"-stamp")
 	text := fmt.Sprintf("%s %s %s", s.name, r.RequestURI, body)
 	if mode == StampedError || mode == StampedHeldError {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -181,8 +183,8 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// reset closes the connection of a request so that its peer gets a reset.
-func reset(w http.ResponseWriter) {
+// resetConnection closes the connection of a request with a TCP reset.
+func resetConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -16,13 +16,13 @@
 	"slatewind.example/slatewind/platform"
 )
 
-// Handler returns the store's HTTP interface. Paths under /control are for
-// whoever makes it fail.
+// Handler returns the HTTP interface of the store. Paths under /control change its
+// contents, inject failures and read counters.
 func (p *Platform) Handler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(platform.PathKey, p.enter("key", p.readKey)).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathRange, p.enter("range", p.readRange)).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathWatch, p.enter("watch", p.watch)).Methods(http.MethodGet)
+	router.HandleFunc(platform.PathKey, p.instrument("key", p.readKey)).Methods(http.MethodGet)
+	router.HandleFunc(platform.PathRange, p.instrument("range", p.readRange)).Methods(http.MethodGet)
+	router.HandleFunc(platform.PathWatch, p.instrument("watch", p.watch)).Methods(http.MethodGet)
 	router.HandleFunc("/control/settings", p.controlSettings).Methods(http.MethodPut)
 	router.HandleFunc("/control/vm", p.controlVM).Methods(http.MethodPut)
 	router.HandleFunc("/control/mode", func(_ http.ResponseWriter, r *http.Request) {
@@ -34,13 +34,13 @@
 	return router
 }
 
-// enter counts a call and answers it, unless the platform fails.
-func (p *Platform) enter(call string, answer http.HandlerFunc) http.HandlerFunc {
+// instrument wraps the handler of a call: it counts the call and applies the mode of the platform.
+func (p *Platform) instrument(call string, answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		p.calls[call]++
 		mode := p.mode
-		p.stateEra(w)
+		p.setEraHeader(w)
 		p.mu.Unlock()
 		switch mode {
 		case PlatformDown:
@@ -56,9 +56,9 @@
 	}
 }
 
-// stateEra states the store's era in the header of an answer. The lock is held, as it is
-// where the answer is read.
-func (p *Platform) stateEra(w http.ResponseWriter) {
+// setEraHeader sets the era of the store in the header of an answer. p.mu must be held, in the same
+// critical section that reads the answer, so that era and answer match.
+func (p *Platform) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set(platform.HeaderEra, strconv.FormatUint(p.era, 10))
 }
 
@@ -67,7 +67,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func sorted(items map[string]platform.Item, prefix string) []platform.Item {
+func sortedItems(items map[string]platform.Item, prefix string) []platform.Item {
 	var list []platform.Item
 	for key, item := range items {
 		if strings.HasPrefix(key, prefix) {
@@ -78,10 +78,11 @@
 	return list
 }
 
-// listed returns the items below a prefix as a reader sees them now.
-func (p *Platform) listed(prefix string) []platform.Item {
+// visibleItems returns the items under a prefix that a reader sees in the current mode. p.mu must be
+// held.
+func (p *Platform) visibleItems(prefix string) []platform.Item {
 	if p.mode != PlatformStale {
-		return sorted(p.items, prefix)
+		return sortedItems(p.items, prefix)
 	}
 	var list []platform.Item
 	for _, item := range p.stale {
@@ -95,8 +96,8 @@
 func (p *Platform) readKey(w http.ResponseWriter, r *http.Request) {
 	key := r.URL.Query().Get(platform.ParamKey)
 	p.mu.Lock()
-	items, revision := p.listed(key), p.revision
-	p.stateEra(w)
+	items, revision := p.visibleItems(key), p.revision
+	p.setEraHeader(w)
 	p.mu.Unlock()
 	if len(items) == 0 || items[0].Key != key {
 		http.Error(w, "no such key", http.StatusNotFound)
@@ -108,8 +109,8 @@
 func (p *Platform) readRange(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	p.mu.Lock()
-	items, revision := p.listed(query.Get(platform.ParamPrefix)), p.revision
-	p.stateEra(w)
+	items, revision := p.visibleItems(query.Get(platform.ParamPrefix)), p.revision
+	p.setEraHeader(w)
 	p.mu.Unlock()
 	first := sort.Search(len(items), func(i int) bool { return items[i].Key > query.Get(platform.ParamAfter) })
 	if query.Get(platform.ParamAfter) == "" {
@@ -135,7 +136,7 @@
 	defer deadline.Stop()
 	for began := p.Revision().Era; ; {
 		if p.Revision().Era != began {
-			// A restore ends the calls that wait.
+			// A restore ends the waiting calls.
 			panic(http.ErrAbortHandler)
 		}
 		events, revision, changed, gone := p.since(w, after, query.Get(platform.ParamPrefix))
@@ -158,13 +159,14 @@
 	}
 }
 
-// since returns the changes below a prefix after a revision, and what is closed
-// at the next change. It states the era of what it returns.
+// since returns the changes under a prefix after a revision, and a channel that is closed
+// at the next change. gone reports that the store does not have the changes after that
+// revision. It sets the era of the result in the header of the answer.
 func (p *Platform) since(w http.ResponseWriter, after uint64, prefix string) (events []platform.Item, revision uint64, changed <-chan struct{}, gone bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateEra(w)
-	if after < p.forgotten || after > p.revision {
+	p.setEraHeader(w)
+	if after < p.compacted || after > p.revision {
 		return nil, p.revision, p.changed, true
 	}
 	if p.mode == PlatformStale {
