--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -36,7 +36,7 @@
 // crashes returns the times at which servers crashed, in order.
 func (f *nodes) crashes() (all []time.Time) {
 	for _, crasher := range f.crashers {
-		all = append(all, crasher.Deaths()...)
+		all = append(all, crasher.Crashes()...)
 	}
 	slices.SortFunc(all, time.Time.Compare)
 	return all
@@ -121,7 +121,7 @@
 	f.crashUntilRefused(2)
 	crashes := len(f.crashes())
 	for i, crasher := range f.crashers {
-		if len(crasher.Deaths()) == 0 {
+		if len(crasher.Crashes()) == 0 {
 			continue
 		}
 		f.end(f.nodes[i])
@@ -141,7 +141,7 @@
 	f := newNodes(t, 4)
 	f.crashUntilRefused(2)
 	for _, crasher := range f.crashers {
-		crasher.Mend()
+		crasher.Repair()
 	}
 	began := time.Now()
 	f.await("the request is answered", func() bool { return f.send(0, "/look/deadly", fmt.Sprint("mended-", time.Now())) == http.StatusOK })
--- a/daemon/starts_test.go
+++ b/daemon/starts_test.go
@@ -41,7 +41,7 @@
 func TestNodeServerStartsAgain(t *testing.T) {
 	f := newNodes(t, 2)
 	for i := range f.servers {
-		f.awaitRevision(f.store.Enter(f.entry(i, 1)))
+		f.awaitRevision(f.store.PutServer(f.entry(i, 1)))
 	}
 	f.servers[1].SetMode(standin.StampedShed)
 	f.servers[0].SetMode(standin.StampedHang)
@@ -56,14 +56,14 @@
 	}
 	f.servers[0].Restart()
 
-	f.awaitRevision(f.store.Enter(f.entry(0, 2)))
+	f.awaitRevision(f.store.PutServer(f.entry(0, 2)))
 	assert.Equal(t, f.nodes[0].inbound.View().Breaker, breaker.StateClosed)
 	for i := range 10 {
 		assert.Equal(t, f.send(i%2, "/pay/1", fmt.Sprint("new-", i)), http.StatusOK)
 	}
 	late := f.entry(0, 1)
 	late.Leaving = true
-	f.awaitRevision(f.store.Enter(late))
+	f.awaitRevision(f.store.PutServer(late))
 	for i := range 10 {
 		assert.Equal(t, f.send(i%2, "/pay/1", fmt.Sprint("late-", i)), http.StatusOK)
 	}
@@ -80,7 +80,7 @@
 		assert.Assert(t, f.nodes[0].inbound.View().Leaving != "", how)
 		assert.Equal(t, f.send(0, "/pay/1", "id-"+string(how)), http.StatusOK)
 		assert.Equal(t, f.servers[0].Arrivals(), 0)
-		f.awaitRevision(f.store.Enter(f.entry(0, 1)))
+		f.awaitRevision(f.store.PutServer(f.entry(0, 1)))
 		assert.Equal(t, f.nodes[1].outbound.Servers(), 2, how)
 	}
 }
@@ -92,7 +92,7 @@
 	f := newNodes(t, 2)
 	unknown := f.entry(0, 9)
 	unknown.Name, unknown.Service = "s-9", "other"
-	f.awaitRevision(f.store.Enter(unknown))
+	f.awaitRevision(f.store.PutServer(unknown))
 	for i := range 10 {
 		assert.Equal(t, f.send(i%2, "/pay/1", fmt.Sprint("id-", i)), http.StatusOK)
 	}
--- a/inbound/hung_test.go
+++ b/inbound/hung_test.go
@@ -21,7 +21,7 @@
 	for i := range 6 {
 		assert.Equal(t, p.run(reservation(), fmt.Sprint("early-", i)), "200 s-1 /x b")
 	}
-	p.server.Turn(standin.StampedHang)
+	p.server.SetModeForNewRequests(standin.StampedHang)
 	t.Cleanup(func() { p.server.SetMode(standin.StampedOK) })
 	for i := range slots {
 		single := reservation()
@@ -46,7 +46,7 @@
 func TestHangingServerGetsTrials(t *testing.T) {
 	p := newFixture(t)
 	p.hang(t)
-	p.server.Turn(standin.StampedOK)
+	p.server.SetModeForNewRequests(standin.StampedOK)
 	answered := func() bool {
 		r := reservation()
 		r.PatienceMs = 20
--- a/inbound/restart_test.go
+++ b/inbound/restart_test.go
@@ -52,7 +52,7 @@
 	await(t, func() bool { return p.server.Arrivals() == slots })
 	assert.Equal(t, p.InUse(), slots)
 
-	p.server.Turn(standin.StampedOK)
+	p.server.SetModeForNewRequests(standin.StampedOK)
 	p.Published(time.Now(), entryOf(2))
 	assert.Equal(t, p.InUse(), 0, "all slots of the newer start are free")
 	assert.Equal(t, p.View().Breaker, breaker.StateClosed)
--- a/internal/standin/crasher.go
+++ b/internal/standin/crasher.go
@@ -92,8 +92,8 @@
 	return true
 }
 
-// Mend makes the server answer deadly requests like all others from now on.
-func (c *Crasher) Mend() {
+// Repair makes the server answer deadly requests like all others from now on.
+func (c *Crasher) Repair() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.repaired = true
@@ -125,8 +125,8 @@
 	c.Crash()
 }
 
-// Deaths returns the times at which deadly requests began to run.
-func (c *Crasher) Deaths() []time.Time {
+// Crashes returns the times at which deadly requests began to run.
+func (c *Crasher) Crashes() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Time(nil), c.crashes...)
--- a/internal/standin/entries.go
+++ b/internal/standin/entries.go
@@ -40,9 +40,9 @@
 	SpoiltStart:  `{"Service":"svc","Address":"10.0.0.9:80","Zone":"dc","Version":"","Slots":4,"State":"ready","ColdRemainingMs":0,"Seq":1,"born":1.5}`,
 }
 
-// Enter writes the entry of a server as the server does, and returns its revision. An entry of
+// PutServer writes the entry of a server as the server does, and returns its revision. An entry of
 // an older start of the server simulates a delayed write.
-func (p *Platform) Enter(entry slatewind.ServerEntry) uint64 {
+func (p *Platform) PutServer(entry slatewind.ServerEntry) uint64 {
 	return p.Put(platform.ServersPrefix+entry.Name, mustEncode(entry))
 }
 
--- a/internal/standin/stamped.go
+++ b/internal/standin/stamped.go
@@ -63,7 +63,7 @@
 
 // SetMode changes the mode and releases held requests.
 func (s *Stamped) SetMode(mode StampedMode) {
-	s.Turn(mode)
+	s.SetModeForNewRequests(mode)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.release)
@@ -73,15 +73,15 @@
 // Restart simulates a crash and a restart under the same name. The connections of requests in
 // progress are reset. The counts of runs are kept.
 func (s *Stamped) Restart() {
-	s.Turn(StampedOK)
+	s.SetModeForNewRequests(StampedOK)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.crashed)
 	s.crashed = make(chan struct{})
 }
 
-// Turn changes the mode for later requests. Held requests remain held.
-func (s *Stamped) Turn(mode StampedMode) {
+// SetModeForNewRequests changes the mode for later requests. Held requests remain held.
+func (s *Stamped) SetModeForNewRequests(mode StampedMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -49,7 +49,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, reply.Head.GetOutcome(), string(slatewind.OutcomeNotRun))
 			assert.Assert(t, strings.Contains(reply.Head.GetReason(), "quarantined: 2 servers"), reply.Head.GetReason())
-			assert.Equal(t, len(crasher.Deaths()), 2)
+			assert.Equal(t, len(crasher.Crashes()), 2)
 		})
 	}
 }
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -65,7 +65,7 @@
 // crashesSince returns the times, in order, at which requests have crashed servers since began.
 func (f *fleet) crashesSince(began time.Time) (ends []time.Time) {
 	for _, n := range f.nodes {
-		ends = append(ends, n.crasher.Deaths()...)
+		ends = append(ends, n.crasher.Crashes()...)
 	}
 	ends = slices.DeleteFunc(ends, func(at time.Time) bool { return at.Before(began) })
 	slices.SortFunc(ends, time.Time.Compare)
