--- a/scripts/run.sh
+++ b/scripts/run.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Starts the Dakar example as separate processes on loopback, with stand-ins for
-# the platform and the servers; sends requests, makes one server slow, prints
-# what was decided and why, and ends everything that it started.
-# KEEP=1 leaves the mesh up until the script gets SIGINT or SIGTERM.
+# Runs the Dakar example as separate processes on loopback, with stand-ins for the
+# platform and the servers. Sends requests, slows one server down, prints the
+# decisions with their reasons, and stops every process that it started.
+# KEEP=1 keeps the processes running until the script gets SIGINT or SIGTERM.
+# COMPARE=1 measures the latency through the proxy and directly at a server.
+# MEDIAN is the median service time of the servers.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -20,7 +22,7 @@
 trap end EXIT
 trap 'exit 1' INT TERM
 
-# Each server line of the file gives a VM and its IP: {name: N, vm: V, address: "IP:PORT"}.
+# Each server in the file is a line with its VM and IP: {name: N, vm: V, address: "IP:PORT"}.
 vms=$(sed -n 's/.*vm: \([^,]*\), address: "\([^:]*\):.*/\1 \2/p' "$fleet")
 zone_of() { sed 's/^\(dkr-[a-z]*\)-.*/\1/' <<<"$1"; }
 zones=()
@@ -54,7 +56,7 @@
 done <<<"$vms"
 bin/slatewind ready "${admins[@]}"
 
-echo "== requests for 10 s; after 4 s vitrine-3 answers 8 times as slowly"
+echo "== sending requests for 10 s; after 4 s vitrine-3 becomes 8 times slower"
 WORKSPACE_KEY=dakar-sellers-demo bin/slatewind-standin drive "${ingresses[@]}" "${servers[@]}" --rate 300 --for 10s \
   --target GET:/:repeatable:0.45 --target GET:/search:repeatable:0.35 \
   --target POST:/boosts:once:0.1 --target POST:/listings:once:0.1 >"$work/drive.out" &
@@ -63,18 +65,18 @@
 bin/slatewind-standin control "http://127.20.3.1:8000/control/fault?kind=slow&factor=8"
 wait "$drive"
 
-echo "== what one ingress decided about vitrine-3, and why"
+echo "== decisions of one ingress about vitrine-3"
 bin/slatewind explain "${admins[0]}" --server vitrine-3
 echo "== state of the same process"
 bin/slatewind state "${admins[0]}" | sed -n 1,14p
 echo "== settings in force"
 bin/slatewind settings "${admins[@]}"
 if [ -n "${COMPARE:-}" ]; then
-  echo "== one request through the path against the same straight to a server"
+  echo "== latency of a request through the proxy and directly at a server"
   bin/slatewind-standin compare --through 127.20.1.1:8080 --direct 127.20.1.1:8000
 fi
 if [ -n "${KEEP:-}" ]; then
-  echo "== the mesh stays up; end it with Ctrl-C"
+  echo "== the processes keep running; stop them with Ctrl-C"
   echo "callers:   ${ingresses[*]//--ingress/}"
   echo "operators: ${admins[*]}"
   trap 'exit 0' INT TERM
