--- a/cli/cli.go
+++ b/cli/cli.go
@@ -274,12 +274,12 @@
 		}
 		return nil
 	}
-	strategies := []measure.StrategyName{measure.StrategyOurs, measure.StrategyConsecutive, measure.StrategyRoundRobin}
+	strategies := []measure.StrategyName{measure.StrategySlatewind, measure.StrategyConsecutive, measure.StrategyRoundRobin}
 	if c.Ours {
 		strategies = strategies[:1]
 	}
 	for _, name := range c.Args.Scenarios {
-		if !measure.Known(name) {
+		if !measure.KnownScenario(name) {
 			return errs.New("slatewind measure: unknown scenario %q; see --list", name)
 		}
 	}
--- a/measure/model.go
+++ b/measure/model.go
@@ -18,41 +18,46 @@
 )
 
 const (
-	// tickInterval and gossipInterval are the daemon's.
+	// tickInterval and gossipInterval are the same as in the daemon.
 	tickInterval   = 100 * time.Millisecond
 	gossipInterval = time.Second
-	gossipFanOut   = 2
-	relayFanOut    = 4
-	// cancelTime is kept for asking whether an attempt was started.
-	cancelTime = 100 * time.Millisecond
-	// errorTime is how fast a failing server answers.
-	errorTime = 2 * time.Millisecond
-	// customers is the number of customers besides the one that launches.
-	customers = 20
+	// gossipFanOut is the number of ingresses that get the digest of a server in each
+	// interval, relayFanOut the number that get it after an ejection.
+	gossipFanOut = 2
+	relayFanOut  = 4
+	// cancelReserve is the part of the timeout that is reserved for cancelling an
+	// attempt, which also tells whether it was started.
+	cancelReserve = 100 * time.Millisecond
+	// errorServiceTime is the service time of requests that fail.
+	errorServiceTime = 2 * time.Millisecond
+	// otherCustomers is the number of customers besides the one of LaunchShare.
+	otherCustomers = 20
 )
 
+// start is the wall-clock time at which every run begins.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// model is one run of one scenario.
+// model is the state of one run of one scenario.
 type model struct {
-	profile  Profile
-	scenario Scenario
-	random   *rand.Rand
-	queue    schedule.Queue
-	servers  []*modelServer
-	nodes    []*node
-	serial   int
-	result   *Result
-	end      time.Duration
-}
-
-// node is one ingress.
+	profile       Profile
+	scenario      Scenario
+	random        *rand.Rand
+	queue         schedule.Queue
+	servers       []*modelServer
+	nodes         []*node
+	attemptSerial int
+	result        *Result
+	end           time.Duration
+}
+
+// node is a simulated ingress.
 type node struct {
 	id       int
 	strategy Strategy
+	// detected holds the unhealthy servers that the node has ejected.
 	detected map[int]bool
-	// sent counts attempts to each server before the fault: how much of the
-	// server's work comes from this ingress.
+	// sent counts the attempts to each server before the fault, as the weight of the
+	// detections by this ingress.
 	sent []int
 }
 
@@ -62,36 +67,40 @@
 	slots    *admission.Server
 	outcomes *outlier.Outcomes
 	attempts map[string]*attempt
-	// limit bounds the replies that carry outcomes.
+	// limit limits the rate of replies that carry outcomes.
 	limit *rate.Limiter
-	// observed counts outcomes since the beginning of the fault.
+	// observed counts outcomes since the fault began.
 	observed int
 }
 
-// request is one caller's request.
+// request is a request of a caller.
 type request struct {
 	node     *node
-	born     time.Duration
+	arrived  time.Duration
 	priority slatewind.Priority
 	customer string
 	race     *policy.Race
 	pending  []*attempt
 	done     bool
-	retries  int
+	// retries is the number of earlier requests that failed and were retried.
+	retries int
 }
 
-// attempt is one try at one server.
+// attempt is an attempt of a request at one server.
 type attempt struct {
 	id      string
 	request *request
 	server  *modelServer
-	ended   func()
-	item    admission.Item
+	// onEnd records the end of the attempt in the strategy.
+	onEnd func()
+	item  admission.Item
+	// started means that the server started the attempt, closed that the ingress no
+	// longer waits for it.
 	started bool
-	over    bool
+	closed  bool
 }
 
-// run plays one scenario under one strategy and seed.
+// run simulates one scenario with one profile, strategy and seed.
 func run(s Scenario, p Profile, name StrategyName, seed uint64) *Result {
 	m := &model{
 		profile: p, scenario: s, random: rand.New(rand.NewPCG(seed, 7)),
@@ -119,8 +128,8 @@
 
 func (m *model) now() time.Time { return start.Add(m.queue.Now()) }
 
-// faulty reports whether the fault has begun.
-func (m *model) faulty() bool { return m.queue.Now() >= warmUp }
+// faultBegun reports whether warmUp is over.
+func (m *model) faultBegun() bool { return m.queue.Now() >= warmUp }
 
 func (m *model) interarrival(rate float64) time.Duration {
 	return time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
@@ -128,7 +137,7 @@
 
 func (m *model) arriveInteractive() {
 	rate := m.profile.Rate
-	if m.faulty() && m.scenario.Load > 0 {
+	if m.faultBegun() && m.scenario.Load > 0 {
 		rate *= m.scenario.Load
 	}
 	m.arrive(slatewind.PriorityInteractive, 0)
@@ -141,73 +150,74 @@
 }
 
 func (m *model) arrive(priority slatewind.Priority, retries int) {
-	customer := fmt.Sprint("customer-", m.random.IntN(customers))
-	if m.faulty() && m.random.Float64() < m.scenario.Launch {
+	customer := fmt.Sprint("customer-", m.random.IntN(otherCustomers))
+	if m.faultBegun() && m.random.Float64() < m.scenario.LaunchShare {
 		customer = "launch"
 	}
 	r := &request{
-		node: m.nodes[m.random.IntN(len(m.nodes))], born: m.queue.Now(),
+		node: m.nodes[m.random.IntN(len(m.nodes))], arrived: m.queue.Now(),
 		priority: priority, customer: customer, retries: retries,
 	}
-	giveUp := m.profile.Timeout - cancelTime
-	r.race = policy.NewRace(m.now().Add(giveUp))
-	r.node.strategy.First()
-	m.result.offered(m, r)
-	if !m.launch(r) {
+	timeout := m.profile.Timeout - cancelReserve
+	r.race = policy.NewRace(m.now().Add(timeout))
+	r.node.strategy.RecordFirst()
+	m.result.recordOffered(m, r)
+	if !m.sendAttempt(r) {
 		m.fail(r)
 		return
 	}
-	m.queue.After(giveUp, func() { m.giveUp(r) })
+	m.queue.After(timeout, func() { m.timeOut(r) })
 	if after := r.node.strategy.HedgeAfter(); after > 0 {
 		m.queue.After(after, func() {
 			if !r.done {
-				m.extra(r)
+				m.sendExtra(r)
 			}
 		})
 	}
 }
 
-// launch sends an attempt to another server.
-func (m *model) launch(r *request) bool {
+// sendAttempt sends an attempt to a server that was not tried yet. It reports false
+// if there is none.
+func (m *model) sendAttempt(r *request) bool {
 	i := r.node.strategy.Pick(m.now(), r.race.Tried)
 	if i == policy.None {
 		return false
 	}
-	m.serial++
-	a := &attempt{id: fmt.Sprint(m.serial), request: r, server: m.servers[i], ended: r.node.strategy.Started(m.now(), i)}
+	m.attemptSerial++
+	a := &attempt{id: fmt.Sprint(m.attemptSerial), request: r, server: m.servers[i], onEnd: r.node.strategy.Started(m.now(), i)}
 	r.race.Launched(i)
 	r.pending = append(r.pending, a)
 	m.result.attempts++
-	if !m.faulty() {
+	if !m.faultBegun() {
 		r.node.sent[i]++
 	}
-	m.queue.After(m.delay(r.node.id, i), func() { m.reach(a) })
+	m.queue.After(m.delay(r.node.id, i), func() { m.arriveAtSidecar(a) })
 	return true
 }
 
 func (m *model) delay(node, server int) time.Duration {
 	if dataCentreOf(m.profile, node) == dataCentreOf(m.profile, server) {
-		return sameDC
+		return sameDCDelay
 	}
-	return oneWay
+	return crossDCDelay
 }
 
-func (m *model) extra(r *request) bool {
-	return r.race.MayLaunch(m.now()) && r.node.strategy.Extra() && m.launch(r)
+func (m *model) sendExtra(r *request) bool {
+	return r.race.MayLaunch(m.now()) && r.node.strategy.TakeExtra() && m.sendAttempt(r)
 }
 
-// reach is the arrival of an attempt at the sidecar.
-func (m *model) reach(a *attempt) {
-	if a.over {
+// arriveAtSidecar handles the arrival of an attempt at the sidecar.
+func (m *model) arriveAtSidecar(a *attempt) {
+	if a.closed {
 		return
 	}
-	deadline := start.Add(a.request.born + m.profile.Timeout)
+	deadline := start.Add(a.request.arrived + m.profile.Timeout)
 	a.item = admission.Item{ID: a.id, Priority: a.request.priority, Customer: a.request.customer, Deadline: deadline}
 	a.server.attempts[a.id] = a
-	m.carryOut(a.server, a.server.slots.Offer(m.now(), a.item))
+	m.applyDecisions(a.server, a.server.slots.Offer(m.now(), a.item))
 }
 
-func (m *model) carryOut(s *modelServer, decisions []admission.Decision) {
+func (m *model) applyDecisions(s *modelServer, decisions []admission.Decision) {
 	for _, d := range decisions {
 		a := s.attempts[d.Item.ID]
 		switch d.Action {
@@ -215,21 +225,21 @@
 			m.serve(a)
 		case admission.ActionRefuse:
 			delete(s.attempts, a.id)
-			m.reply(a, slatewind.OutcomeNotRun, false)
+			m.sendReply(a, slatewind.OutcomeNotRun, false)
 		case admission.ActionQueue:
 		}
 	}
 }
 
-// serve has the server run an attempt, under its fault of the moment.
+// serve starts an attempt at the server, with the faults that are active now.
 func (m *model) serve(a *attempt) {
 	a.started = true
 	s := a.server
 	s.outcomes.Start(m.now(), a.id, 0)
-	took := float64(m.profile.Service) * math.Exp(m.profile.Spread*m.random.NormFloat64())
+	took := float64(m.profile.ServiceTime) * math.Exp(m.profile.Spread*m.random.NormFloat64())
 	failed := false
 	for _, f := range m.scenario.Faults {
-		if !m.active(f, s.id) {
+		if !m.faultActive(f, s.id) {
 			continue
 		}
 		switch {
@@ -237,25 +247,26 @@
 			return
 		case m.random.Float64() < f.Errors:
 			failed = true
-			took = float64(errorTime)
+			took = float64(errorServiceTime)
 		case f.Slow > 0:
-			took *= m.slowness(f)
+			took *= m.slowFactor(f)
 		}
 	}
 	m.queue.After(time.Duration(took), func() { m.finish(a, failed) })
 }
 
-// active reports whether a fault is on a server now.
-func (m *model) active(f Fault, server int) bool {
-	if !m.faulty() || (!f.Shared && f.Server != server) {
+// faultActive reports whether a fault affects a server now.
+func (m *model) faultActive(f Fault, server int) bool {
+	if !m.faultBegun() || (!f.Shared && f.Server != server) {
 		return false
 	}
 	since := m.queue.Now() - warmUp
 	return f.Period == 0 || (since/f.Period)%2 == 0
 }
 
-// slowness is the factor of a slow fault; a cold server gets faster.
-func (m *model) slowness(f Fault) float64 {
+// slowFactor returns the factor of service times under a fault. It falls to 1
+// linearly over the time Cold, if that is set.
+func (m *model) slowFactor(f Fault) float64 {
 	since := m.queue.Now() - warmUp
 	if f.Cold == 0 {
 		return f.Slow
@@ -267,7 +278,7 @@
 }
 
 func (m *model) finish(a *attempt, failed bool) {
-	if a.over && !a.started {
+	if a.closed && !a.started {
 		return
 	}
 	if m.servers[a.server.id].attempts[a.id] == nil {
@@ -277,44 +288,46 @@
 	if failed {
 		result = slatewind.ResultError
 	}
-	m.leave(a, result)
-	m.reply(a, slatewind.OutcomeAnswer, failed)
+	m.releaseSlot(a, result)
+	m.sendReply(a, slatewind.OutcomeAnswer, failed)
 }
 
-// leave takes an attempt out of its slot.
-func (m *model) leave(a *attempt, result slatewind.Result) {
+// releaseSlot ends an attempt at its server and frees its slot.
+func (m *model) releaseSlot(a *attempt, result slatewind.Result) {
 	s := a.server
 	delete(s.attempts, a.id)
 	took := s.outcomes.End(m.now(), a.id, result)
-	if m.faulty() {
+	if m.faultBegun() {
 		s.observed++
 	}
-	m.carryOut(s, s.slots.Done(m.now(), a.item, took))
+	m.applyDecisions(s, s.slots.Done(m.now(), a.item, took))
 }
 
-// reply brings a result to the ingress, unless the way back is cut.
-func (m *model) reply(a *attempt, outcome slatewind.Outcome, failed bool) {
+// sendReply sends the result of an attempt to its ingress, unless a fault cuts the
+// way back.
+func (m *model) sendReply(a *attempt, outcome slatewind.Outcome, failed bool) {
 	if m.cut(a.request.node.id, a.server.id) {
 		return
 	}
 	digest := m.replyDigest(a.server)
 	m.queue.After(m.delay(a.request.node.id, a.server.id), func() {
-		a.request.node.strategy.Heard(m.now(), digest, true)
-		m.note(a.request.node)
-		m.take(a, outcome, failed)
+		a.request.node.strategy.ApplyDigest(m.now(), digest, true)
+		m.processStrategy(a.request.node)
+		m.handleResult(a, outcome, failed)
 	})
 }
 
 func (m *model) cut(node, server int) bool {
 	for _, f := range m.scenario.Faults {
-		if m.active(f, server) && f.Cut > 0 && float64(node) < f.Cut*float64(len(m.nodes)) {
+		if m.faultActive(f, server) && f.Cut > 0 && float64(node) < f.Cut*float64(len(m.nodes)) {
 			return true
 		}
 	}
 	return false
 }
 
-// replyDigest is what a reply tells; some leave the outcomes out.
+// replyDigest returns the digest for a reply. It has no outcomes if the rate limit of
+// the server is exceeded.
 func (m *model) replyDigest(s *modelServer) *slatewindv1.Digest {
 	d := m.digest(s)
 	if !s.limit.AllowN(m.now(), 1) {
@@ -330,16 +343,16 @@
 	}
 }
 
-// take handles the result of an attempt at its ingress.
-func (m *model) take(a *attempt, outcome slatewind.Outcome, failed bool) {
+// handleResult handles the result of an attempt at its ingress.
+func (m *model) handleResult(a *attempt, outcome slatewind.Outcome, failed bool) {
 	r := a.request
-	if a.over {
+	if a.closed {
 		return
 	}
-	m.close(a)
+	m.closeAttempt(a)
 	if outcome != slatewind.OutcomeNotRun {
-		r.node.strategy.Result(m.now(), a.server.id, !failed)
-		m.note(r.node)
+		r.node.strategy.RecordResult(m.now(), a.server.id, !failed)
+		m.processStrategy(r.node)
 	}
 	if r.done {
 		return
@@ -348,7 +361,7 @@
 	case policy.RaceWon:
 		m.succeed(r)
 	case policy.RaceRetry:
-		if !m.extra(r) && r.race.NoExtra() == policy.RaceLost {
+		if !m.sendExtra(r) && r.race.NoExtra() == policy.RaceLost {
 			m.fail(r)
 		}
 	case policy.RaceLost:
@@ -357,41 +370,41 @@
 	}
 }
 
-// close ends an attempt at its ingress.
-func (m *model) close(a *attempt) {
-	if !a.over {
-		a.over = true
-		a.ended()
+// closeAttempt ends an attempt at its ingress, which ignores its result from then on.
+func (m *model) closeAttempt(a *attempt) {
+	if !a.closed {
+		a.closed = true
+		a.onEnd()
 	}
 }
 
 func (m *model) succeed(r *request) {
-	m.cancelAll(r)
-	m.result.answered(m, r)
+	m.cancelPending(r)
+	m.result.recordAnswer(m, r)
 }
 
 func (m *model) fail(r *request) {
-	m.cancelAll(r)
+	m.cancelPending(r)
 	if r.retries < m.scenario.Retries {
 		m.arrive(r.priority, r.retries+1)
 	}
 }
 
-func (m *model) giveUp(r *request) {
+func (m *model) timeOut(r *request) {
 	if !r.done {
 		m.fail(r)
 	}
 }
 
-// cancelAll ends a request's other attempts; the question whether they were
-// started brings the sidecar's digest, or its silence.
-func (m *model) cancelAll(r *request) {
+// cancelPending cancels the open attempts of a request. The reply to each
+// cancellation carries the digest of the sidecar; a missing one counts as lost.
+func (m *model) cancelPending(r *request) {
 	r.done = true
 	for _, a := range r.pending {
-		if a.over {
+		if a.closed {
 			continue
 		}
-		m.close(a)
+		m.closeAttempt(a)
 		delay := m.delay(r.node.id, a.server.id)
 		m.queue.After(delay, func() { m.cancel(a) })
 	}
@@ -405,84 +418,85 @@
 	case s.slots.Remove(a.id):
 		delete(s.attempts, a.id)
 	case a.started:
-		m.leave(a, slatewind.ResultCancelled)
+		m.releaseSlot(a, slatewind.ResultCancelled)
 	}
 	node := a.request.node
 	if m.cut(node.id, s.id) {
-		m.queue.After(cancelTime, func() {
-			node.strategy.Lost(m.now(), s.id)
-			m.note(node)
+		m.queue.After(cancelReserve, func() {
+			node.strategy.ReplyLost(m.now(), s.id)
+			m.processStrategy(node)
 		})
 		return
 	}
 	digest := m.replyDigest(s)
 	m.queue.After(m.delay(node.id, s.id), func() {
-		node.strategy.Heard(m.now(), digest, true)
-		node.strategy.Result(m.now(), s.id, false)
-		m.note(node)
+		node.strategy.ApplyDigest(m.now(), digest, true)
+		node.strategy.RecordResult(m.now(), s.id, false)
+		m.processStrategy(node)
 	})
 }
 
 func (m *model) tick() {
 	for _, s := range m.servers {
 		s.outcomes.Tick(m.now())
-		m.carryOut(s, s.slots.Advance(m.now()))
+		m.applyDecisions(s, s.slots.Advance(m.now()))
 	}
 	for _, n := range m.nodes {
 		n.strategy.Tick(m.now())
-		m.note(n)
+		m.processStrategy(n)
 		if !n.strategy.FloorKept() {
-			m.result.floorBroken++
+			m.result.floorViolations++
 		}
 	}
 	m.queue.After(tickInterval, m.tick)
 }
 
-// gossip brings each server's digest to a few ingresses.
+// gossip sends the digest of each server to gossipFanOut random ingresses.
 func (m *model) gossip() {
 	for _, s := range m.servers {
 		for range gossipFanOut {
 			n := m.nodes[m.random.IntN(len(m.nodes))]
 			if !m.cut(n.id, s.id) {
-				n.strategy.Heard(m.now(), m.digest(s), false)
-				m.note(n)
+				n.strategy.ApplyDigest(m.now(), m.digest(s), false)
+				m.processStrategy(n)
 			}
 		}
 	}
 	m.queue.After(gossipInterval, m.gossip)
 }
 
-// askServers brings a node the digests that it wants to confirm a suspicion.
-func (m *model) askServers(n *node, names []string) {
-	round := time.Duration(0)
+// refreshDigests fetches the digests that a node needs to confirm a suspicion, and
+// then has its strategy confirm it.
+func (m *model) refreshDigests(n *node, names []string) {
+	roundTrip := time.Duration(0)
 	for _, name := range names {
 		s := m.servers[serverIndex(name)]
 		if m.cut(n.id, s.id) {
 			continue
 		}
 		delay := m.delay(n.id, s.id)
-		round = max(round, 2*delay)
+		roundTrip = max(roundTrip, 2*delay)
 		m.queue.After(delay, func() {
 			digest := m.digest(s)
-			m.queue.After(delay, func() { n.strategy.Heard(m.now(), digest, false) })
+			m.queue.After(delay, func() { n.strategy.ApplyDigest(m.now(), digest, false) })
 		})
 	}
-	m.queue.After(round+sameDC, func() {
+	m.queue.After(roundTrip+sameDCDelay, func() {
 		n.strategy.Confirm(m.now())
-		m.note(n)
+		m.processStrategy(n)
 	})
 }
 
-// relay passes the news of an ejected server on: its digest, which the others
-// judge for themselves.
-func (m *model) relay(n *node, name string) {
+// relayEjection sends the digest of an ejected server to other ingresses, which decide
+// for themselves whether to eject it.
+func (m *model) relayEjection(n *node, name string) {
 	s := m.servers[serverIndex(name)]
 	digest := m.digest(s)
 	for range relayFanOut {
 		to := m.nodes[m.random.IntN(len(m.nodes))]
 		m.queue.After(m.delay(n.id, to.id), func() {
-			to.strategy.Heard(m.now(), digest, false)
-			m.note(to)
+			to.strategy.ApplyDigest(m.now(), digest, false)
+			m.processStrategy(to)
 		})
 	}
 }
@@ -493,20 +507,21 @@
 	return i
 }
 
-// note counts what a node's strategy has ejected and asks what it wants to know.
-func (m *model) note(n *node) {
-	if questions := n.strategy.Questions(); len(questions) > 0 {
-		m.askServers(n, questions)
+// processStrategy fetches the digests that the strategy of a node requests, and
+// records and relays its ejections.
+func (m *model) processStrategy(n *node) {
+	if requested := n.strategy.TakeRefreshRequests(); len(requested) > 0 {
+		m.refreshDigests(n, requested)
 	}
-	for _, name := range n.strategy.Ejected() {
-		m.result.ejected(m, n, serverIndex(name))
-		m.relay(n, name)
+	for _, name := range n.strategy.TakeEjected() {
+		m.result.recordEjection(m, n, serverIndex(name))
+		m.relayEjection(n, name)
 	}
 }
 
-// sick reports whether a server truly has a fault of its own, at a node.
-func (m *model) sick(node, server int) bool {
-	if !m.faulty() {
+// unhealthy reports whether a server has a fault of its own that affects a node.
+func (m *model) unhealthy(node, server int) bool {
+	if !m.faultBegun() {
 		return false
 	}
 	for _, f := range m.scenario.Faults {
--- a/measure/report.go
+++ b/measure/report.go
@@ -14,55 +14,63 @@
 	"slatewind.example/slatewind"
 )
 
-// Result is what one run brought, or several together.
+// Result is the result of one run or the sum of several.
 type Result struct {
-	// Detections of sick servers, one for each ingress.
+	// Detections of unhealthy servers, one for each server and ingress.
 	Detections []Detection
-	False      int
-	// ServerHours is the time that healthy servers were judged, over all nodes.
-	ServerHours float64
-	Latency     []time.Duration
-	// Good and Offered count interactive requests after the fault began.
-	Good    int
-	Offered int
-	// Capacity is how many requests the healthy slots could have served then.
-	Capacity    float64
-	requests    int
-	attempts    int
-	floorBroken int
+	// FalseEjections counts ejections of healthy servers.
+	FalseEjections int
+	// HealthyServerHours is the time that servers were healthy, summed over all
+	// servers and ingresses.
+	HealthyServerHours float64
+	// Latency lists the latencies of answered interactive requests after warmUp.
+	Latency []time.Duration
+	// Answered and Offered count interactive requests after the fault began; Offered
+	// leaves out retries of callers.
+	Answered int
+	Offered  int
+	// Capacity is the number of requests that the slots could have served after the
+	// fault began.
+	Capacity        float64
+	requests        int
+	attempts        int
+	floorViolations int
 }
 
-// Detection is how long an ingress went on sending work to a sick server.
+// Detection is the time that an ingress took to eject an unhealthy server.
 type Detection struct {
-	// After is the time to the ejection; runTime where there was none.
+	// After is the time from the fault to the ejection, or runTime if there was none.
 	After time.Duration
-	// Observed is how many outcomes the server had shown by then.
+	// Observed is the number of outcomes of the server since the fault began, up to
+	// the ejection or the end of the run.
 	Observed int
-	Missed   bool
-	// Weight is the work that the ingress sent there before the fault.
+	// Missed means that the server was never ejected.
+	Missed bool
+	// Weight is the number of attempts that the ingress sent to the server before the
+	// fault.
 	Weight int
 }
 
 func newResult() *Result { return &Result{} }
 
-func (r *Result) offered(m *model, rq *request) {
+func (r *Result) recordOffered(m *model, rq *request) {
 	r.requests++
-	if m.faulty() && rq.priority == slatewind.PriorityInteractive && rq.retries == 0 {
+	if m.faultBegun() && rq.priority == slatewind.PriorityInteractive && rq.retries == 0 {
 		r.Offered++
 	}
 }
 
-func (r *Result) answered(m *model, rq *request) {
-	if rq.born < warmUp || rq.priority != slatewind.PriorityInteractive {
+func (r *Result) recordAnswer(m *model, rq *request) {
+	if rq.arrived < warmUp || rq.priority != slatewind.PriorityInteractive {
 		return
 	}
-	r.Good++
-	r.Latency = append(r.Latency, m.queue.Now()-rq.born)
+	r.Answered++
+	r.Latency = append(r.Latency, m.queue.Now()-rq.arrived)
 }
 
-func (r *Result) ejected(m *model, n *node, server int) {
-	if !m.sick(n.id, server) {
-		r.False++
+func (r *Result) recordEjection(m *model, n *node, server int) {
+	if !m.unhealthy(n.id, server) {
+		r.FalseEjections++
 		return
 	}
 	if !n.detected[server] {
@@ -73,15 +81,15 @@
 	}
 }
 
-// finish adds what is known only at the end of a run.
+// finish adds the missed detections and the totals at the end of a run.
 func (r *Result) finish(m *model) {
-	sick := 0
+	unhealthy := 0
 	for _, n := range m.nodes {
 		for i := range m.servers {
-			if !m.sick(n.id, i) {
+			if !m.unhealthy(n.id, i) {
 				continue
 			}
-			sick++
+			unhealthy++
 			if !n.detected[i] {
 				r.Detections = append(r.Detections, Detection{
 					After: runTime, Observed: m.servers[i].observed, Missed: true, Weight: n.sent[i],
@@ -89,14 +97,14 @@
 			}
 		}
 	}
-	judged := float64(len(m.nodes)*len(m.servers))*m.end.Hours() - float64(sick)*runTime.Hours()
-	r.ServerHours = judged
-	mean := float64(m.profile.Service) * math.Exp(m.profile.Spread*m.profile.Spread/2)
+	healthyHours := float64(len(m.nodes)*len(m.servers))*m.end.Hours() - float64(unhealthy)*runTime.Hours()
+	r.HealthyServerHours = healthyHours
+	mean := float64(m.profile.ServiceTime) * math.Exp(m.profile.Spread*m.profile.Spread/2)
 	r.Capacity = m.healthySlots() * float64(runTime) / mean
 }
 
-// healthySlots is how many slots' worth of work the servers can do under the
-// scenario's faults.
+// healthySlots returns the capacity of the servers under the faults of the scenario,
+// as an equivalent number of healthy slots.
 func (m *model) healthySlots() float64 {
 	slots := 0.0
 	for i := range m.servers {
@@ -119,18 +127,19 @@
 
 func (r *Result) add(o *Result) {
 	r.Detections = append(r.Detections, o.Detections...)
-	r.False += o.False
-	r.ServerHours += o.ServerHours
+	r.FalseEjections += o.FalseEjections
+	r.HealthyServerHours += o.HealthyServerHours
 	r.Latency = append(r.Latency, o.Latency...)
-	r.Good += o.Good
+	r.Answered += o.Answered
 	r.Offered += o.Offered
 	r.Capacity += o.Capacity
 	r.requests += o.requests
 	r.attempts += o.attempts
-	r.floorBroken += o.floorBroken
+	r.floorViolations += o.floorViolations
 }
 
-// Row is one line of the report.
+// Row is one line of the report. A detection statistic is weighted by the work that
+// each ingress sent to the unhealthy server.
 type Row struct {
 	Scenario        string
 	Profile         string
@@ -148,24 +157,27 @@
 	FloorKept       bool
 }
 
-// Options says what is measured.
+// Options are the parameters of Measure.
 type Options struct {
-	// Scenarios by name; empty is all.
+	// Scenarios by name; all are run if it is empty.
 	Scenarios []string
-	Seeds     int
-	// Caution overrides the profiles' where it is not zero.
+	// Seeds is the number of runs with different seeds.
+	Seeds int
+	// Caution overrides the caution of the profiles if it is not zero.
 	Caution    float64
 	Strategies []StrategyName
 }
 
-// job is the runs of one row.
+// job identifies the runs that are summed in one row.
 type job struct {
 	scenario Scenario
 	profile  Profile
 	strategy StrategyName
 }
 
-// Measure runs every scenario under every strategy and seed.
+// Measure runs the scenarios with each of their profiles, every strategy and every
+// seed, and returns one row for each scenario, profile and strategy. Runs are
+// distributed over all processors but one.
 func Measure(o Options) []Row {
 	var jobs []job
 	for _, s := range Scenarios {
@@ -207,24 +219,25 @@
 		Scenario: j.scenario.Name, Profile: j.profile.Name, Strategy: j.strategy, HeldBack: j.scenario.HeldBack,
 		DetectMedian: median.After, DetectP95: p95.After, Missed: r.missed(),
 		Observed: float64(median.Observed), Bound: j.bound(),
-		FalsePerHour: float64(r.False) / r.ServerHours,
-		Goodput:      float64(r.Good) / min(float64(r.Offered), r.Capacity),
+		FalsePerHour: float64(r.FalseEjections) / r.HealthyServerHours,
+		Goodput:      float64(r.Answered) / min(float64(r.Offered), r.Capacity),
 		P99:          quantile(r.Latency, 0.99),
-		FloorKept:    r.floorBroken == 0,
+		FloorKept:    r.floorViolations == 0,
 	}
 	row.ExtraPerRequest = float64(r.attempts-r.requests) / float64(r.requests)
 	return row
 }
 
-// bound is the least mean number of requests to detection at the same rate of
-// false alarms, threshold over divergence, where the model gives the
-// divergence.
+// bound returns the theoretical minimum of the mean number of requests to detection
+// at the same rate of false alarms: the threshold divided by the Kullback-Leibler
+// divergence of the slow service times from the normal ones. It returns zero if the
+// divergence cannot be derived from the scenario.
 func (j job) bound() float64 {
 	if len(j.scenario.Faults) != 1 {
 		return 0
 	}
 	f := j.scenario.Faults[0]
-	if f.Slow == 0 || f.Shared || f.Period > 0 || f.Cold > 0 || j.strategy != StrategyOurs {
+	if f.Slow == 0 || f.Shared || f.Period > 0 || f.Cold > 0 || j.strategy != StrategySlatewind {
 		return 0
 	}
 	shift := math.Log(f.Slow)
@@ -232,8 +245,8 @@
 	return j.profile.Caution / divergence
 }
 
-// detection returns the detection before which a share of the sick servers'
-// work had been taken away: each ingress counts by the work that it sent.
+// detection returns a quantile of the detections by time, where each counts by its
+// weight. It sorts r.Detections.
 func (r *Result) detection(share float64) Detection {
 	slices.SortFunc(r.Detections, func(a, b Detection) int { return int(a.After - b.After) })
 	total := 0
@@ -250,7 +263,7 @@
 	return Detection{}
 }
 
-// missed returns the share of the sick servers' work that was never taken away.
+// missed returns the share of the missed detections, by weight.
 func (r *Result) missed() float64 {
 	missed, total := 0, 0
 	for _, d := range r.Detections {
@@ -270,40 +283,40 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// WriteTable writes rows for a terminal.
+// WriteTable writes rows as an aligned table for a terminal.
 func WriteTable(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "scenario\tservice\tstrategy\tdetect p50\tp95\tmissed\trequests\tbound\tfalse/server-h\tgoodput\tp99\textra\tfloor")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.0f%%\t%s\t%s\t%.2f\t%.2f\t%s\t%.2f\t%s\n",
-			r.Scenario, r.Profile, r.Strategy, orDash(r.DetectMedian), orDash(r.DetectP95), r.Missed*100,
-			number(r.Observed), number(r.Bound), r.FalsePerHour, r.Goodput, r.P99.Round(time.Millisecond), r.ExtraPerRequest, kept(r.FloorKept))
+			r.Scenario, r.Profile, r.Strategy, formatDuration(r.DetectMedian), formatDuration(r.DetectP95), r.Missed*100,
+			formatNumber(r.Observed), formatNumber(r.Bound), r.FalsePerHour, r.Goodput, r.P99.Round(time.Millisecond), r.ExtraPerRequest, floorText(r.FloorKept))
 	}
 	return t.Flush()
 }
 
-func orDash(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
 	return d.Round(time.Millisecond).String()
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if x == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.1f", x)
 }
 
-func kept(floor bool) string {
+func floorText(floor bool) string {
 	if floor {
 		return "kept"
 	}
 	return "BROKEN"
 }
 
-// WriteCSV writes rows as CSV; times are in milliseconds.
+// WriteCSV writes rows as CSV with a header line; times are in milliseconds.
 func WriteCSV(w io.Writer, rows []Row) error {
 	c := csv.NewWriter(w)
 	_ = c.Write([]string{"scenario", "service", "strategy", "held_back", "detect_p50_ms", "detect_p95_ms", "missed", "requests", "bound", "false_per_server_hour", "goodput", "p99_ms", "extra", "floor_kept"})
--- a/measure/strategy.go
+++ b/measure/strategy.go
@@ -14,47 +14,52 @@
 	"slatewind.example/slatewind/policy"
 )
 
-// Strategy is how one ingress chooses servers.
+// Strategy is the method by which one ingress picks servers. The model calls it from
+// a single goroutine.
 type Strategy interface {
-	// Pick returns the server for an attempt, or policy.None.
+	// Pick returns the index of the server for an attempt, or policy.None. tried
+	// lists the servers of earlier attempts.
 	Pick(now time.Time, tried []int) int
-	// Started notes an attempt and returns what ends the note.
+	// Started records the start of an attempt; the returned function records its end.
 	Started(now time.Time, i int) func()
-	// Heard takes a digest that came with a reply, or by gossip.
-	Heard(now time.Time, d *slatewindv1.Digest, direct bool)
-	// Result takes what one attempt brought, as a caller would see it.
-	Result(now time.Time, i int, ok bool)
-	// Lost notes an attempt from which nothing came back.
-	Lost(now time.Time, i int)
-	// First notes a first attempt; Extra allows or denies a further one.
-	First()
-	Extra() bool
-	// HedgeAfter returns when a request is overdue, or zero for never.
+	// ApplyDigest applies a received digest; direct means that it came with a reply,
+	// not by gossip.
+	ApplyDigest(now time.Time, d *slatewindv1.Digest, direct bool)
+	// RecordResult records the result of an attempt as a caller would observe it.
+	RecordResult(now time.Time, i int, ok bool)
+	// ReplyLost records an attempt that received no reply.
+	ReplyLost(now time.Time, i int)
+	// RecordFirst records a first attempt; TakeExtra reports whether an extra attempt
+	// is within the budget, and takes it from there.
+	RecordFirst()
+	TakeExtra() bool
+	// HedgeAfter returns the time after which a request is overdue, or zero for never.
 	HedgeAfter() time.Duration
 	Tick(now time.Time)
-	// Ejected returns the servers ejected since the last call.
-	Ejected() []string
-	// Questions names servers whose digests are wanted at once; Confirm says
-	// that they came.
-	Questions() []string
+	// TakeEjected returns the servers ejected since the last call.
+	TakeEjected() []string
+	// TakeRefreshRequests returns servers whose digests have to be fetched
+	// immediately; Confirm is called after they arrived.
+	TakeRefreshRequests() []string
 	Confirm(now time.Time)
-	// FloorKept reports whether nothing is out below the floor.
+	// FloorKept reports that no server that could serve is out of service while
+	// capacity is below the floor.
 	FloorKept() bool
 }
 
-// StrategyName names a strategy.
+// StrategyName is the name of a strategy in reports.
 type StrategyName string
 
 // Strategies that are compared.
 const (
-	StrategyOurs        StrategyName = "slatewind"
+	StrategySlatewind   StrategyName = "slatewind"
 	StrategyRoundRobin  StrategyName = "round-robin"
 	StrategyConsecutive StrategyName = "five-in-a-row"
 )
 
 func serverName(i int) string { return fmt.Sprint("s", i) }
 
-// dataCentreOf spreads VMs over the data centres.
+// dataCentreOf assigns VM i to a data centre, round-robin.
 func dataCentreOf(p Profile, i int) string { return fmt.Sprint("dc", i%p.DataCentres) }
 
 func newStrategy(name StrategyName, p Profile, ingress int, seed uint64, now time.Time) Strategy {
@@ -65,16 +70,16 @@
 	case StrategyConsecutive:
 		return newConsecutive(p, random)
 	}
-	return newOurs(p, ingress, seed, now)
+	return newSlatewindStrategy(p, ingress, seed, now)
 }
 
-// ours is package policy as the daemon uses it.
-type ours struct {
+// slatewindStrategy uses package policy as the daemon does.
+type slatewindStrategy struct {
 	service *policy.Service
 	floor   int
 }
 
-func newOurs(p Profile, ingress int, seed uint64, now time.Time) *ours {
+func newSlatewindStrategy(p Profile, ingress int, seed uint64, now time.Time) *slatewindStrategy {
 	settings := &slatewindv1.Service{
 		Name: p.Name, Floor: uint32(p.Floor), Caution: p.Caution, KeyLifetime: durationpb.New(time.Minute),
 	}
@@ -84,39 +89,39 @@
 		zones[vm] = dataCentreOf(p, i)
 		settings.Servers = append(settings.Servers, &slatewindv1.Server{Name: serverName(i), Vm: vm, Slots: uint32(p.Slots)})
 	}
-	o := &ours{service: policy.NewService(p.Name, dataCentreOf(p, ingress), seed+uint64(ingress)<<32), floor: p.Floor}
-	o.service.Update(now, settings, func(vm string) string { return zones[vm] })
-	return o
+	s := &slatewindStrategy{service: policy.NewService(p.Name, dataCentreOf(p, ingress), seed+uint64(ingress)<<32), floor: p.Floor}
+	s.service.Update(now, settings, func(vm string) string { return zones[vm] })
+	return s
 }
 
-func (o *ours) Pick(now time.Time, tried []int) int {
-	return o.service.Pick(now, slatewind.KindRepeatable, tried)
+func (s *slatewindStrategy) Pick(now time.Time, tried []int) int {
+	return s.service.Pick(now, slatewind.KindRepeatable, tried)
 }
 
-func (o *ours) Started(now time.Time, i int) func() {
-	a := o.service.Started(now, i, 0)
-	return func() { o.service.Ended(a) }
+func (s *slatewindStrategy) Started(now time.Time, i int) func() {
+	a := s.service.Started(now, i, 0)
+	return func() { s.service.Ended(a) }
 }
 
-func (o *ours) Heard(now time.Time, d *slatewindv1.Digest, direct bool) {
-	o.service.ApplyDigest(now, d, direct)
+func (s *slatewindStrategy) ApplyDigest(now time.Time, d *slatewindv1.Digest, direct bool) {
+	s.service.ApplyDigest(now, d, direct)
 }
 
-func (o *ours) Result(time.Time, int, bool) {}
+func (s *slatewindStrategy) RecordResult(time.Time, int, bool) {}
 
-func (o *ours) Lost(now time.Time, i int) { o.service.ReplyLost(now, serverName(i)) }
+func (s *slatewindStrategy) ReplyLost(now time.Time, i int) { s.service.ReplyLost(now, serverName(i)) }
 
-func (o *ours) First() { o.service.RecordFirst() }
+func (s *slatewindStrategy) RecordFirst() { s.service.RecordFirst() }
 
-func (o *ours) Extra() bool { return o.service.TakeExtra() }
+func (s *slatewindStrategy) TakeExtra() bool { return s.service.TakeExtra() }
 
-func (o *ours) HedgeAfter() time.Duration { return o.service.OverdueAfter(0) }
+func (s *slatewindStrategy) HedgeAfter() time.Duration { return s.service.OverdueAfter(0) }
 
-func (o *ours) Tick(now time.Time) { o.service.Tick(now) }
+func (s *slatewindStrategy) Tick(now time.Time) { s.service.Tick(now) }
 
-func (o *ours) Ejected() []string {
+func (s *slatewindStrategy) TakeEjected() []string {
 	var ejected []string
-	for _, d := range o.service.TakeDecisions() {
+	for _, d := range s.service.TakeDecisions() {
 		if d.Kind == slatewind.DecisionEject {
 			ejected = append(ejected, d.Server)
 		}
@@ -124,15 +129,15 @@
 	return ejected
 }
 
-func (o *ours) Questions() []string { return o.service.TakeRefreshRequests() }
+func (s *slatewindStrategy) TakeRefreshRequests() []string { return s.service.TakeRefreshRequests() }
 
-func (o *ours) Confirm(now time.Time) { o.service.Confirm(now) }
+func (s *slatewindStrategy) Confirm(now time.Time) { s.service.Confirm(now) }
 
-func (o *ours) FloorKept() bool {
-	return o.service.Idle() == 0 || o.service.Capacity() >= o.floor
+func (s *slatewindStrategy) FloorKept() bool {
+	return s.service.Idle() == 0 || s.service.Capacity() >= s.floor
 }
 
-// roundRobin gives each server its turn and ejects nobody.
+// roundRobin picks the servers in turn and ejects none.
 type roundRobin struct {
 	next    int
 	servers int
@@ -148,36 +153,41 @@
 	return policy.None
 }
 
-func (r *roundRobin) Started(time.Time, int) func()              { return func() {} }
-func (r *roundRobin) Heard(time.Time, *slatewindv1.Digest, bool) {}
-func (r *roundRobin) Result(time.Time, int, bool)                {}
-func (r *roundRobin) Lost(time.Time, int)                        {}
-func (r *roundRobin) First()                                     {}
-func (r *roundRobin) Extra() bool                                { return true }
-func (r *roundRobin) HedgeAfter() time.Duration                  { return 0 }
-func (r *roundRobin) Tick(time.Time)                             {}
-func (r *roundRobin) Ejected() []string                          { return nil }
-func (r *roundRobin) Questions() []string                        { return nil }
-func (r *roundRobin) Confirm(time.Time)                          {}
-func (r *roundRobin) FloorKept() bool                            { return true }
-
-// Settings of the five-in-a-row baseline, as proxies commonly have them.
+func (r *roundRobin) Started(time.Time, int) func()                    { return func() {} }
+func (r *roundRobin) ApplyDigest(time.Time, *slatewindv1.Digest, bool) {}
+func (r *roundRobin) RecordResult(time.Time, int, bool)                {}
+func (r *roundRobin) ReplyLost(time.Time, int)                         {}
+func (r *roundRobin) RecordFirst()                                     {}
+func (r *roundRobin) TakeExtra() bool                                  { return true }
+func (r *roundRobin) HedgeAfter() time.Duration                        { return 0 }
+func (r *roundRobin) Tick(time.Time)                                   {}
+func (r *roundRobin) TakeEjected() []string                            { return nil }
+func (r *roundRobin) TakeRefreshRequests() []string                    { return nil }
+func (r *roundRobin) Confirm(time.Time)                                {}
+func (r *roundRobin) FloorKept() bool                                  { return true }
+
+// Settings of the five-in-a-row baseline; they are common defaults of proxies.
 const (
-	inARow      = 5
-	baseOut     = 30 * time.Second
-	maxOutShare = 0.5
+	maxConsecutiveErrors = 5
+	ejectionTime         = 30 * time.Second
+	maxEjectedShare      = 0.5
 )
 
-// consecutive ejects a server after five errors or timeouts in a row, at most
-// half of all, and chooses by two random choices on its own requests.
+// consecutive ejects a server for ejectionTime after maxConsecutiveErrors errors or
+// timeouts, unless more than maxEjectedShare of the servers would be ejected. It picks
+// by the power of two random choices, with the load of its own requests only.
 type consecutive struct {
 	random  *rand.Rand
 	profile Profile
 	all     []int
-	load    []float64
-	tried   []int
-	now     time.Time
-	errors  []int
+	// load is the number of requests in flight by server.
+	load []float64
+	// tried and now are the arguments of the current Pick, for Target.
+	tried []int
+	now   time.Time
+	// errors is the number of consecutive errors by server.
+	errors []int
+	// until is the end of the ejection by server.
 	until   []time.Time
 	ejected []string
 }
@@ -211,38 +221,38 @@
 	return func() { c.load[i]-- }
 }
 
-func (c *consecutive) Heard(time.Time, *slatewindv1.Digest, bool) {}
+func (c *consecutive) ApplyDigest(time.Time, *slatewindv1.Digest, bool) {}
 
-func (c *consecutive) Result(now time.Time, i int, ok bool) {
+func (c *consecutive) RecordResult(now time.Time, i int, ok bool) {
 	if ok {
 		c.errors[i] = 0
 		return
 	}
 	c.errors[i]++
-	out := 0
+	ejected := 0
 	for _, until := range c.until {
 		if now.Before(until) {
-			out++
+			ejected++
 		}
 	}
-	if c.errors[i] >= inARow && float64(out+1) <= maxOutShare*float64(len(c.until)) {
+	if c.errors[i] >= maxConsecutiveErrors && float64(ejected+1) <= maxEjectedShare*float64(len(c.until)) {
 		c.errors[i] = 0
-		c.until[i] = now.Add(baseOut)
+		c.until[i] = now.Add(ejectionTime)
 		c.ejected = append(c.ejected, serverName(i))
 	}
 }
 
-func (c *consecutive) Lost(now time.Time, i int) { c.Result(now, i, false) }
+func (c *consecutive) ReplyLost(now time.Time, i int) { c.RecordResult(now, i, false) }
 
-func (c *consecutive) First()                    {}
-func (c *consecutive) Extra() bool               { return true }
-func (c *consecutive) HedgeAfter() time.Duration { return 0 }
-func (c *consecutive) Tick(time.Time)            {}
-func (c *consecutive) Questions() []string       { return nil }
-func (c *consecutive) Confirm(time.Time)         {}
-func (c *consecutive) FloorKept() bool           { return true }
+func (c *consecutive) RecordFirst()                  {}
+func (c *consecutive) TakeExtra() bool               { return true }
+func (c *consecutive) HedgeAfter() time.Duration     { return 0 }
+func (c *consecutive) Tick(time.Time)                {}
+func (c *consecutive) TakeRefreshRequests() []string { return nil }
+func (c *consecutive) Confirm(time.Time)             {}
+func (c *consecutive) FloorKept() bool               { return true }
 
-func (c *consecutive) Ejected() []string {
+func (c *consecutive) TakeEjected() []string {
 	ejected := c.ejected
 	c.ejected = nil
 	return ejected
