--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -40,6 +40,7 @@
 
 // CallMeter counts calls to the platform.
 type CallMeter interface {
+	// PlatformCall counts a call; what names the kind of call, and err is its error or nil.
 	PlatformCall(what string, err error)
 }
 
--- a/discovery/servers.go
+++ b/discovery/servers.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// put applies an entry that was received at a revision.
+// put applies an entry that was received at a revision. w.mu is held.
 func (w *Watcher) put(now time.Time, entry slatewind.ServerEntry, revision slatewind.Revision) {
 	if entry.Start < w.newestStart(entry.Name) {
 		w.putOlderStart(now, entry, revision)
@@ -141,7 +141,7 @@
 	w.sink.Server(now, next.ServerEntry)
 }
 
-// newestStart returns the newest known start of a server, or 0.
+// newestStart returns the newest known start of a server, or 0. w.mu is held.
 func (w *Watcher) newestStart(name string) int64 {
 	return max(w.servers[name].Start, w.tombstones[name].start)
 }
@@ -149,7 +149,7 @@
 // putOlderStart handles an entry of an older start than the newest known one: a write that was
 // delayed, or an entry without a start although its server states one. The newer start stays in
 // use, unless its own entry was removed before the older one was created, or the entry states no
-// start and so identifies no server.
+// start and so identifies no server. w.mu is held.
 func (w *Watcher) putOlderStart(now time.Time, entry slatewind.ServerEntry, revision slatewind.Revision) {
 	w.sink.InvalidData(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
 	server, ok := w.servers[entry.Name]
@@ -185,6 +185,7 @@
 }
 
 // recordSuperseded records a superseded entry. The time is kept if the entry was recorded before.
+// w.mu is held.
 func (w *Watcher) recordSuperseded(now time.Time, entry slatewind.ServerEntry) {
 	since := now
 	if before, ok := w.superseded[entry.Name]; ok && before.entry.Start == entry.Start {
@@ -195,7 +196,7 @@
 
 // adoptSuperseded puts superseded entries into use that the source has listed for
 // supersededTimeout. No other server writes them, so either the clock of the server's VM was set
-// back or the server itself has written the entry anew.
+// back or the server itself has written the entry anew. w.mu is held.
 func (w *Watcher) adoptSuperseded(now time.Time) {
 	for name, s := range w.superseded {
 		if now.Sub(s.since) < supersededTimeout {
@@ -215,7 +216,7 @@
 const minStartQuarters = 3
 
 // mostHaveStarts reports whether most servers state a start, according to an update and, if that
-// is not complete, to the known servers.
+// is not complete, to the known servers. w.mu is held.
 func (w *Watcher) mostHaveStarts(p slatewind.ServerUpdate) bool {
 	if len(p.Servers) == 0 {
 		return false
@@ -239,14 +240,14 @@
 }
 
 // rejectWithoutStart handles an entry without a start where most servers state one: it identifies
-// no server, and the entry that it replaced no longer exists.
+// no server, and the entry that it replaced no longer exists. w.mu is held.
 func (w *Watcher) rejectWithoutStart(now time.Time, entry slatewind.ServerEntry, revision slatewind.Revision) {
 	w.sink.InvalidData(now, &StartError{Entry: entry, Newest: w.newestStart(entry.Name), Revision: revision})
 	w.entryRemoved(now, entry.Name, revision)
 }
 
 // rejectKnownWithoutStart removes servers without a start that were accepted before most servers
-// stated theirs.
+// stated theirs. w.mu is held.
 func (w *Watcher) rejectKnownWithoutStart(now time.Time, revision slatewind.Revision) {
 	for name, server := range w.servers {
 		if _, awaiting := w.awaitingRenewal[name]; server.Start == 0 && !awaiting {
@@ -256,6 +257,7 @@
 }
 
 // recordEnded records the newest start of a removed server as reported by another process.
+// w.mu is held.
 func (w *Watcher) recordEnded(s slatewind.ServerStart, revision slatewind.Revision) {
 	if _, ok := w.servers[s.Name]; ok {
 		return
@@ -267,7 +269,7 @@
 	w.recordTombstone(s.Name, tombstone{before.revision, max(before.start, s.Start)})
 }
 
-// removeUnlisted handles the servers that a complete update does not list.
+// removeUnlisted handles the servers that a complete update does not list. w.mu is held.
 func (w *Watcher) removeUnlisted(now time.Time, all slatewind.ServerUpdate) {
 	listed := listedNames(all)
 	maps.DeleteFunc(w.superseded, func(name string, _ superseded) bool { return !listed[name] })
@@ -281,6 +283,7 @@
 // entryRemoved handles the removal of an entry. Entries expire while the store is unreachable
 // even if their servers are healthy. After an outage, a server is therefore kept for
 // renewalGrace, in which it may write its entry again; otherwise it is removed at once.
+// w.mu is held.
 func (w *Watcher) entryRemoved(now time.Time, name string, revision slatewind.Revision) {
 	delete(w.superseded, name)
 	if _, ok := w.servers[name]; !ok {
@@ -296,7 +299,7 @@
 	w.remove(now, name, revision)
 }
 
-// remove removes a server and notifies the sink.
+// remove removes a server and notifies the sink. w.mu is held.
 func (w *Watcher) remove(now time.Time, name string, revision slatewind.Revision) {
 	start := w.servers[name].Start
 	delete(w.servers, name)
@@ -306,7 +309,7 @@
 	w.sink.ServerGone(now, name)
 }
 
-// recordTombstone records that a server was removed.
+// recordTombstone records that a server was removed. w.mu is held.
 func (w *Watcher) recordTombstone(name string, removed tombstone) {
 	if _, known := w.tombstones[name]; !known && len(w.tombstones) >= maxTombstones {
 		clear(w.tombstones)
@@ -317,7 +320,7 @@
 
 // expire removes the servers whose entries were not renewed within the grace period, and adopts
 // superseded entries. While the store is unreachable, servers cannot renew their entries, so the
-// period does not end.
+// period does not end. w.mu is held.
 func (w *Watcher) expire(now time.Time) {
 	if w.unreachable || now.Before(w.reachableSince.Add(renewalGrace)) {
 		return
@@ -348,7 +351,7 @@
 
 // addRemovals adds to an update the servers that were removed after a revision, and their newest
 // starts. A complete update gets the starts of all removed servers, since its receiver may know
-// none of them.
+// none of them. w.mu is held.
 func (w *Watcher) addRemovals(p *slatewind.ServerUpdate, after slatewind.Revision) {
 	add := func(name string, removed tombstone) {
 		if !p.Complete && !removed.revision.After(after) {
--- a/discovery/settings.go
+++ b/discovery/settings.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// step tries once to get newer settings, or waits if there is nothing to do. A process that
-// starts polls the store, which is quicker than finding a peer that has settings. If the poll
+// step tries once to get newer settings, or waits if there is nothing to do. A process that has
+// just started polls the store, which is quicker than finding a peer that has settings. If the poll
 // brings no newer settings or fails, but a newer version is known, it is fetched from peers: a
 // store that was restored from a backup may lack settings that peers have.
 func (w *SettingsWatcher) step(ctx context.Context) error {
--- a/discovery/sharedsource.go
+++ b/discovery/sharedsource.go
@@ -25,7 +25,8 @@
 	// peerTimeout bounds a query to a peer. Within a data centre an answer takes about a
 	// millisecond, and some tens of milliseconds from a busy process.
 	peerTimeout = 200 * time.Millisecond
-	// peerRetryDelay is how long a peer that did not answer is not queried.
+	// peerRetryDelay is how long a peer that did not answer, or whose update as a reader was old,
+	// does not count as a reader.
 	peerRetryDelay = 3 * time.Second
 	// pingTimeout bounds the check whether this process can reach the store itself. pingInterval
 	// is the interval of the checks while it cannot. outagePingInterval is the interval while its
@@ -67,7 +68,7 @@
 // needs. If a reader's answer is too old, a process queries the store itself.
 //
 // A SharedSource serves one Watcher. Its methods must not be called concurrently, except for
-// IsReader and SetSeeds.
+// IsReader, SetSeeds and otherProcesses.
 type SharedSource struct {
 	// isReader reports whether this process reads the store on behalf of others.
 	isReader atomic.Bool
@@ -92,10 +93,11 @@
 	// seeds are queried while no server is known.
 	seeds atomic.Pointer[[]string]
 
-	// skipUntil holds, for each peer that did not answer, the time until which it is not queried.
+	// skipUntil holds, for each peer that did not answer and each reader whose update was old, the
+	// time until which it does not count as a reader.
 	skipUntil map[string]time.Time
 	// nextDirect is the time before which a process that is not a reader does not query the
-	// store for changes. directBackoff is the last backoff.
+	// store for changes, unless the reader does not answer. directBackoff is the last backoff.
 	nextDirect    time.Time
 	directBackoff time.Duration
 	// unreachable reports that the store could not be reached at lastContact.
@@ -124,8 +126,8 @@
 	s.settings = settings
 }
 
-// Read implements slatewind.ServerSource. A process that starts reads the store, so that it has
-// the newest state; if the store is unreachable, it queries a peer.
+// Read implements slatewind.ServerSource. A process that has just started reads the store, so that
+// it has the newest state; if the store is unreachable, it queries a peer.
 func (s *SharedSource) Read(ctx context.Context) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Read(ctx)
@@ -139,7 +141,10 @@
 	return p, err
 }
 
-// Changes implements slatewind.ServerSource.
+// Changes implements slatewind.ServerSource. A reader queries the store. Any other process queries a
+// reader and, if the reader does not answer or its update is not fresh, the store. While the store is
+// unreachable or direct calls are backed off, it accepts an update that is not fresh. It fails if the
+// reader does not answer while the store is unreachable.
 func (s *SharedSource) Changes(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	elected := s.electedReaders(time.Now())
 	readers := s.nearReaders(elected)
@@ -230,7 +235,8 @@
 	}
 }
 
-// queryStore queries the store. If that fails, a peer may have a later revision.
+// queryStore queries the store. If that fails, it returns the update of a random peer if that is of
+// a later revision than after, and the store's error otherwise.
 func (s *SharedSource) queryStore(ctx context.Context, after slatewind.Revision) (slatewind.ServerUpdate, error) {
 	began := s.clock.Now()
 	p, err := s.store.Changes(ctx, after)
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -99,7 +99,8 @@
 	servers map[string]knownServer
 	// ranking ranks the endpoints of the known servers; nil after they changed.
 	ranking *ranking
-	// tombstones holds the removed servers, complete is the revision after which none is missing.
+	// tombstones holds the removed servers. It lacks none of those that were removed after the
+	// revision complete.
 	tombstones map[string]tombstone
 	complete   slatewind.Revision
 	eraChange  eraChange
@@ -108,7 +109,8 @@
 	awaitingRenewal map[string]slatewind.Revision
 	// superseded holds, by name, the superseded entries that the source still lists.
 	superseded map[string]superseded
-	// unreachable reports that the last call failed. reachableSince is when the last outage or
+	// unreachable reports that the last call failed, or that its update came from a peer because this
+	// process cannot reach the store. reachableSince is when the last outage or
 	// restore of the source ended.
 	unreachable    bool
 	reachableSince time.Time
@@ -225,7 +227,8 @@
 	return w.revision
 }
 
-// errOnlyPeers: peers can reach the store, this process cannot.
+// errOnlyPeers is the cause that is reported when an update came from a peer because this process
+// cannot reach the store.
 var errOnlyPeers = Error.New("the store is reachable only through other processes")
 
 // requestFullRead makes the next poll read the full state.
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -42,8 +42,8 @@
 	// and the time that must be left for it to get a slot: that process does not know when this
 	// one exits.
 	spareFactor = 2
-	// stragglerFactor times the mean service time after the close, a request that was in flight
-	// at the close counts as unusually long.
+	// A request that was in flight at the close counts as unusually long once stragglerFactor
+	// times the mean service time has passed since the close.
 	stragglerFactor = 2
 	// drainTime is how long the requests in flight at the close typically take.
 	drainTime = 500 * time.Millisecond
@@ -102,8 +102,8 @@
 	return c.Finishes().Sub(now) > other
 }
 
-// LastAnswer returns the latest time at which a server may end a request itself for its answer to
-// be forwarded.
+// LastAnswer returns the latest deadline of a request whose answer can still be forwarded if the
+// server works on it until the deadline and then ends it itself.
 func (c Schedule) LastAnswer() time.Time { return c.WorkEnds().Add(-answerTime) }
 
 // LastStart returns the latest time at which a request with the given expected service time may
@@ -125,7 +125,7 @@
 
 // Admit decides whether to accept a request that arrives during the shutdown. If it is accepted,
 // deadline is the deadline to use for it.
-func (c Schedule) Admit(now time.Time, r Request) (deadline time.Time, taken bool) {
+func (c Schedule) Admit(now time.Time, r Request) (deadline time.Time, accepted bool) {
 	if c.Open(now) {
 		return r.Deadline, c.MayStart(now, r.Expected)
 	}
--- a/inbound/answer.go
+++ b/inbound/answer.go
@@ -61,7 +61,8 @@
 // errTruncated ends a reply whose answer was truncated after its head had been sent.
 var errTruncated = Error.New("the answer broke off")
 
-// notExecuted ends a request that the server states it did not execute.
+// notExecuted ends a request that the server states it did not execute. Status 421 means that the
+// request was addressed to another server; the answer may then give the name of this one.
 func (u *use) notExecuted(answer *backend.Answer) error {
 	result := breaker.ResultShed
 	reason := "the server rejected it with status " + strconv.Itoa(answer.StatusCode)
@@ -112,12 +113,12 @@
 // sendAnswer sends the head, the chunks of the body and the end. The body consists of the
 // buffered part followed by rest, which may be nil. A truncated body is sent without an end, so
 // that the receiver detects it.
-func (u *use) sendAnswer(head *slatewindv1.AnswerHead, held []byte, rest io.Reader) error {
+func (u *use) sendAnswer(head *slatewindv1.AnswerHead, buffered []byte, rest io.Reader) error {
 	if err := u.send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Head{Head: head}}); err != nil {
 		return err
 	}
 	w := &chunkSender{use: u, sum: xxhash.New()}
-	for part := range slices.Chunk(held, link.ChunkBytes) {
+	for part := range slices.Chunk(buffered, link.ChunkBytes) {
 		if _, err := w.Write(part); err != nil {
 			return err
 		}
--- a/inbound/calls.go
+++ b/inbound/calls.go
@@ -37,7 +37,8 @@
 // NestedCall implements slatewind.NestedCalls. A nested call is identified by its ID: the ID of a
 // running request, extended by a separator and further characters. Nested calls of servers that
 // construct the IDs differently are not identified. They are treated like any other request, and
-// every error answer counts against the server that made the call.
+// every error answer counts against the server that made the call. A nested call that is returned
+// is in progress until its End is called.
 func (in *Inbound) NestedCall(id string) (slatewind.NestedCall, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/inbound/quarantine.go
+++ b/inbound/quarantine.go
@@ -12,9 +12,9 @@
 	"slatewind.example/slatewind/quarantine"
 )
 
-// quarantined returns whether the request may be sent to the server. It is the last check before
-// the request is sent, since reports of other servers' exits may arrive while the request is
-// queued or its body is being read.
+// quarantined returns the verdict on whether the request may be sent to the server. It is the last
+// check before the request is sent, since reports of other servers' exits may arrive while the
+// request is queued or its body is being read.
 func (u *use) quarantined(now time.Time, request *slatewindv1.SlotRequest, body []byte) quarantine.Verdict {
 	u.digest = sync.OnceValue(quarantine.Content{
 		Workspace: u.reservation.GetWorkspace(), Method: request.GetMethod(), Host: request.GetHost(), Target: request.GetTarget(), Body: body,
@@ -49,7 +49,7 @@
 
 // recordServerExit records whether the server exited while it was running the request, whose run
 // failed with err. It returns the record of the request, so that the sender has it before it
-// tries another server.
+// tries another server, or nil if no exit was found or the run was cancelled.
 func (u *use) recordServerExit(ctx context.Context, sent bool, err error) *slatewindv1.Suspect {
 	now := time.Now()
 	if ctx.Err() != nil {
--- a/inbound/run.go
+++ b/inbound/run.go
@@ -16,7 +16,8 @@
 	"slatewind.example/slatewind/breaker"
 )
 
-// run sends the request to the server and forwards the answer.
+// run sends the request to the server and forwards the answer. It refuses the request if the server
+// is leaving, the deadline has passed or the request is quarantined.
 func (u *use) run(request *slatewindv1.SlotRequest, body []byte) error {
 	// The server may have started to leave since the slot was granted.
 	if why := u.in.leaving(); why != "" {
@@ -120,8 +121,9 @@
 	return u.sendFailure(outcome, err.Error(), suspect)
 }
 
-// connectionRefused records that the server's address refuses connections. When a VM is removed,
-// the server exits before its sidecar, which has no slots to grant from then on.
+// connectionRefused records that the server's address refuses connections. During a shutdown of
+// this process the server then counts as leaving: when a VM is removed, the server exits before its
+// sidecar, which has no slots to grant from then on.
 func (in *Inbound) connectionRefused() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -135,7 +137,8 @@
 	return u.send(&slatewindv1.UseReply{Part: &slatewindv1.UseReply_Failure{Failure: failure}})
 }
 
-// endRun records the result of a run and releases the slot.
+// endRun records the result of a run and releases the slot; why is the reason in the journal if the
+// result opens the breaker.
 func (u *use) endRun(result breaker.Result, why string) {
 	now := time.Now()
 	u.in.mu.Lock()
--- a/inbound/stop.go
+++ b/inbound/stop.go
@@ -41,7 +41,7 @@
 // grantsSlot reports whether the shutdown still grants a slot to a request with the given
 // expected service time. After admission has stopped, a server that appears unhealthy gets none,
 // since requests that it does not complete are cut off when the process exits. in.mu must be
-// held.
+// held and in.shutdown must be set.
 func (in *Inbound) grantsSlot(now time.Time, expected time.Duration) bool {
 	if in.shutdown.Open(now) {
 		return true
@@ -80,8 +80,9 @@
 	return uint32(max(in.shutdown.RemainingWait(now).Milliseconds(), 1))
 }
 
-// InFlight returns the number of reservations without a final reply. A reservation releases its
-// slot when its request has run, before the answer has been sent.
+// InFlight returns the number of reservations without a final reply. Besides those that hold a slot,
+// these are the queued ones and those whose short answer is still being sent: it is sent after the
+// slot was released.
 func (in *Inbound) InFlight() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/inbound/use.go
+++ b/inbound/use.go
@@ -41,7 +41,9 @@
 	began time.Time
 }
 
-// serve handles the reservation and its request. The error is one of the stream.
+// serve handles the reservation and its request. A refusal or failure that was sent to the sender is
+// not an error; an error means that the stream failed, that its messages were invalid or that the
+// answer broke off.
 func (u *use) serve() error {
 	granted, err := u.reserve()
 	if !granted || err != nil {
@@ -89,7 +91,7 @@
 // become unhealthy while the reservation was queued, so the checks are repeated.
 func (u *use) handleDecision(d admission.Decision) (granted bool, err error) {
 	if d.Action != admission.ActionStart {
-		return false, u.refuseFull(d)
+		return false, u.refuseWithoutSlot(d)
 	}
 	u.granted, u.grantExpires = time.Now(), u.in.clock.Now().Add(grantTime)
 	u.in.mu.Lock()
@@ -146,9 +148,9 @@
 	return u.sendRefusal(refusal)
 }
 
-// refuseFull refuses a reservation that got no slot, because none became free in time or because
-// the server or this process accepts no further requests.
-func (u *use) refuseFull(d admission.Decision) error {
+// refuseWithoutSlot refuses a reservation that got no slot, because none became free in time or
+// because the server or this process accepts no further requests.
+func (u *use) refuseWithoutSlot(d admission.Decision) error {
 	cause, reason, after := CauseFull, "", d.RetryAfter
 	u.in.mu.Lock()
 	switch {
--- a/outbound/acquire.go
+++ b/outbound/acquire.go
@@ -13,7 +13,8 @@
 	"slatewind.example/slatewind/search"
 )
 
-// slotDeadline returns the time until which an attempt that starts now may wait for a slot.
+// slotDeadline returns the time until which an attempt that starts now may wait for a slot. An
+// attempt after one that a server received, and a nested call, may wait longer (search.MaxSlotWait).
 func (rq *request) slotDeadline(now time.Time, retry bool) time.Time {
 	return now.Add(search.MaxSlotWait(rq.remaining(now), rq.objective(), retry || rq.call != nil))
 }
@@ -121,7 +122,7 @@
 	return ""
 }
 
-// releaseSlot returns a granted slot that is not used.
+// releaseSlot releases a granted slot that is not used.
 func (s *slotSearch) releaseSlot(slot *grantedSlot) {
 	slot.cancel()
 	s.rq.shard.update(func(c *choice.Service) { c.Ended(slot.server.ID()) })
@@ -158,8 +159,8 @@
 	return "no server that was asked replied in time"
 }
 
-// round asks the servers one after another, in ascending order of cost. over reports that further
-// waiting is useless.
+// round asks the servers one after another, in ascending order of cost, until one grants a slot. If
+// none does, slot is nil, and over reports that another round would be useless.
 func (s *slotSearch) round(deadline <-chan time.Time) (slot *grantedSlot, over bool) {
 	s.opts.constraints = s.search.Constraints()
 	s.search.Begin(s.rq.shard.order(time.Now(), s.rq, s.opts))
--- a/outbound/dispatch.go
+++ b/outbound/dispatch.go
@@ -108,7 +108,8 @@
 	return max(left, time.Duration(hedgeMeanFactor*float64(rq.shard.meanTime(rq.route.GetName()))))
 }
 
-// hedge sends a repeatable request that has not been answered yet to a second server.
+// hedge sends a repeatable request that has not been answered yet to a second server, if another
+// attempt is allowed.
 func (d *dispatch) hedge() {
 	if d.rq.repeatable() && d.active == 1 && d.mayRepeat() {
 		d.journalExtra(slatewind.DecisionHedge, "", "no answer after most of its objective")
@@ -182,7 +183,7 @@
 )
 
 // mayRepeat reports whether the request may be sent to one more server, provided that the process
-// beside that server still grants an extra attempt.
+// beside that server still grants an extra attempt. If not, the denial is counted by its cause.
 func (d *dispatch) mayRepeat() bool {
 	switch {
 	case d.arrivals+d.active >= d.rq.attempts(), d.tries >= maxTries:
--- a/outbound/outbound.go
+++ b/outbound/outbound.go
@@ -38,7 +38,8 @@
 
 // Meter records metrics about requests.
 type Meter interface {
-	// Request counts a request by its outcome; route is empty if no route matched.
+	// Request counts a request by its outcome; route is empty if the request was rejected before it
+	// was handled, for example since no route matched.
 	Request(route string, outcome slatewind.Outcome, took time.Duration)
 	// Workspace counts a request that requires a key, by the admission decision about its workspace.
 	Workspace(name string, admission Admission)
@@ -46,7 +47,7 @@
 	Extra(service, why string)
 	// Denied counts an attempt after the first that was not made, by cause.
 	Denied(service, cause string)
-	// Quarantined counts a request that was refused because servers ended while running it.
+	// Quarantined counts a request that was refused because servers exited while running it.
 	Quarantined(service string)
 }
 
@@ -89,7 +90,7 @@
 	limiter     slatewind.Limiter
 	// clock includes the time during which the VM was suspended.
 	clock timer.Clock
-	// suspects holds the requests during which servers ended.
+	// suspects holds the requests during which servers exited.
 	suspects *quarantine.Table
 
 	// mu guards shards, servers, nameByAddress and superseded.
--- a/outbound/quarantine.go
+++ b/outbound/quarantine.go
@@ -8,12 +8,12 @@
 	"slatewind.example/slatewind/link"
 )
 
-// quarantined reports whether a request must not be sent because servers ended while running it.
+// quarantined reports whether a request must not be sent because servers exited while running it.
 func (o *Outbound) quarantined(now time.Time, rq *request) bool {
 	return o.suspects.Check(now, rq.digest).Refused
 }
 
-// refuseQuarantined returns the result of a request that is not sent because servers ended while
+// refuseQuarantined returns the result of a request that is not sent because servers exited while
 // running it.
 func (o *Outbound) refuseQuarantined(now time.Time, rq *request) requestResult {
 	verdict := o.suspects.Check(now, rq.digest)
--- a/outbound/reply.go
+++ b/outbound/reply.go
@@ -27,7 +27,8 @@
 // Error implements error.
 func (r *rejection) Error() string { return r.reason }
 
-// reject responds to a request that cannot be sent to any server.
+// reject responds to a request that newRequest rejected with err. An err that is no rejection gets
+// status 400.
 func (o *Outbound) reject(w http.ResponseWriter, r *http.Request, err error) {
 	rejected := &rejection{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &rejected)
@@ -64,7 +65,8 @@
 	survey choice.Survey
 	// quarantine is the verdict because of which the request was not sent, if it is quarantined.
 	quarantine quarantine.Verdict
-	// timedOut reports that the request's time ended while a server was handling it.
+	// timedOut reports that the request's time ended before its response was complete. It affects
+	// the status only if the request may have run.
 	timedOut bool
 	// answer is set if the outcome is OutcomeAnswer.
 	answer *answer
@@ -92,7 +94,7 @@
 }
 
 // statusOf returns the HTTP status for a result without a server's response. A request that is proven
-// to end servers gets 400, so that its caller does not send it again; but not a single request
+// to make servers exit gets 400, so that its caller does not send it again; but not a single request
 // that may have run, since 400 would say that it did not.
 func (rq *request) statusOf(f requestResult) int {
 	switch {
--- a/outbound/reservation.go
+++ b/outbound/reservation.go
@@ -168,7 +168,8 @@
 	return state
 }
 
-// ApplyReports records the server states that other processes reported.
+// ApplyReports records the server states that other processes reported. Reports about unknown
+// servers are ignored.
 func (o *Outbound) ApplyReports(now time.Time, reports []*slatewindv1.ServerReport) {
 	for _, r := range reports {
 		o.mu.RLock()
--- a/outbound/servers.go
+++ b/outbound/servers.go
@@ -123,7 +123,8 @@
 	start   int64
 }
 
-// Put adds or updates a server.
+// Put adds or updates a server. If its address belongs to a server that started later, the entry is
+// kept aside until that server is removed.
 func (o *Outbound) Put(now time.Time, entry slatewind.ServerEntry) {
 	o.mu.Lock()
 	before, known := o.servers[entry.Name]
@@ -152,7 +153,7 @@
 	o.shard(entry.Service).update(func(c *choice.Service) { c.Put(now, entry) })
 }
 
-// Remove removes a server whose entry is gone.
+// Remove removes a server whose entry is gone. An entry that was kept aside because of it takes effect.
 func (o *Outbound) Remove(name string) {
 	o.mu.Lock()
 	server, known := o.servers[name]
--- a/outbound/split.go
+++ b/outbound/split.go
@@ -9,6 +9,7 @@
 // splitter distributes the requests of a route over services by weight: each request goes to the
 // service that is furthest behind its share.
 type splitter struct {
+	// sent counts the requests by service, total counts all of them.
 	sent  map[string]float64
 	total float64
 }
--- a/outbound/stop.go
+++ b/outbound/stop.go
@@ -12,8 +12,9 @@
 const reasonStopping = "the process stops"
 
 // Drain starts the graceful shutdown: connections to callers are closed after their current request,
-// and requests that cannot be finished in time are refused without being sent. Accepting every
-// request on an open connection would cut off those that servers are still working on at the end.
+// and requests that cannot be finished in time are refused without being sent. If every
+// request on an open connection were accepted, those that servers are still working on at the end
+// would be cut off.
 func (o *Outbound) Drain(schedule drain.Schedule) {
 	o.stop.Store(&schedule)
 }
@@ -37,8 +38,9 @@
 	}
 }
 
-// lastStart limits the time until which a request may wait for a slot, so that it can be finished
-// before the process exits.
+// lastStart returns the time until which a request may wait for a slot: until or, during a shutdown,
+// the latest time at which it can start and still be finished before the process exits, if that is
+// earlier.
 func (o *Outbound) lastStart(rq *request, until time.Time) time.Time {
 	stop := o.stop.Load()
 	if stop == nil {
