--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -420,7 +420,7 @@
 // the platform's list. All others learn it within seconds, and so does the process itself.
 func TestLeavingIsHeardByAll(t *testing.T) {
 	tests := map[string]func(c *cluster, nodes []*node){
-		"its own word": func(_ *cluster, nodes []*node) { nodes[3].gossip.Leave(time.Now()) },
+		"own announcement": func(_ *cluster, nodes []*node) { nodes[3].gossip.Leave(time.Now()) },
 		"by the list": func(c *cluster, nodes []*node) {
 			vms := append([]slatewind.VM(nil), c.fake.vms...)
 			vms[3].State = slatewind.VMLeaving
@@ -438,7 +438,7 @@
 				for _, n := range nodes {
 					assert.Assert(t, n.gossip.Leaving(vmName(3)), n.address)
 				}
-				assert.Assert(t, name == "its own word" || nodes[3].leaving == 1)
+				assert.Assert(t, name == "own announcement" || nodes[3].leaving == 1)
 			})
 		})
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -30,7 +30,7 @@
 // table in any order, and an older entry does not bring back a process that has left.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) member.Entry {
+		updates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) member.Entry {
 			serial := uint64(rapid.IntRange(1, 2).Draw(t, "serial"))
 			state := slatewind.VMLive
 			if serial == 2 {
@@ -40,10 +40,10 @@
 			return entry(vm, uint64(rapid.IntRange(1, 3).Draw(t, "incarnation")), serial, state)
 		}), 1, 12).Draw(t, "news")
 		one, two := newTable(), newTable()
-		for _, e := range news {
+		for _, e := range updates {
 			one.Merge(begin, e)
 		}
-		for _, e := range rapid.Permutation(news).Draw(t, "other order") {
+		for _, e := range rapid.Permutation(updates).Draw(t, "other order") {
 			two.Merge(begin, e)
 		}
 		for _, e := range one.All() {
