--- a/admission/admission.go
+++ b/admission/admission.go
@@ -8,7 +8,8 @@
 //
 // Queued requests are ordered by these criteria:
 //
-//  1. Interactive requests go before background ones, which get only spare slots.
+//  1. Interactive requests go before background ones, which must leave
+//     some slots free.
 //  2. Requests that belong to work already begun on another server go first, but
 //     overtake each other request only a few times.
 //  3. Requests of a lower rank go first.
@@ -230,12 +231,14 @@
 	return decisions
 }
 
+// start gives the item a slot.
 func (s *Server) start(it Item) {
 	s.inUse++
 	s.started[it.ID] = true
 	s.running[it.Customer]++
 }
 
+// fits reports whether a slot is free for the item, whatever is in the queue.
 func (s *Server) fits(it Item) bool {
 	free := s.slots - s.inUse
 	if it.Priority == slatewind.PriorityBackground {
@@ -247,6 +250,7 @@
 	return free > 0
 }
 
+// expire removes the queued items that can no longer start in time and returns their refusals.
 func (s *Server) expire(now time.Time) []Decision {
 	var decisions []Decision
 	kept := s.queue[:0]
--- a/admission/order.go
+++ b/admission/order.go
@@ -98,7 +98,7 @@
 }
 
 // victim returns the index of the item to evict from the full queue in favour of a new
-// one, or -1: the latest of the items that go last if the new one goes before them,
+// one, or -1, always so for a new background item: the latest of the items that go last if the new one goes before them,
 // otherwise the latest item of a customer that has at least two more waiting than the
 // customer of the new one.
 func (s *Server) victim(it Item) int {
@@ -127,7 +127,7 @@
 }
 
 // largestCustomer returns the index of the latest item of the customer with the most
-// items waiting, or -1. It considers only items of level own or above and customers
+// items waiting, or -1. It considers only items that do not go before level own and customers
 // with at least two more items waiting than the customer of the new item.
 func (s *Server) largestCustomer(it Item, own level) int {
 	count := map[string]int{}
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -25,7 +25,8 @@
 var (
 	// ErrMalformedAnswer is returned if the received bytes are not a valid HTTP answer.
 	ErrMalformedAnswer = Error.New("malformed HTTP answer")
-	// ErrForeignAnswer is returned if only answers to other requests were received.
+	// ErrForeignAnswer is returned if only answers to other requests, or interim ones, were
+	// received.
 	ErrForeignAnswer = Error.New("the answer belongs to another request")
 	// ErrNoStamp is returned for a success status without the stamp header by which a server
 	// proves that the answer is its own.
@@ -46,8 +47,8 @@
 	writeWait = 20 * time.Millisecond
 	// maxIdle is the maximum number of idle connections.
 	maxIdle = 16
-	// maxForeignAnswers is the number of foreign answers on one connection after which it is
-	// closed.
+	// maxForeignAnswers is the number of interim and foreign answers to one request after which
+	// the request fails and its connection is closed.
 	maxForeignAnswers = 3
 	// bufferBytes is the size of a connection's read buffer, in bytes.
 	bufferBytes = 4 << 10
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -167,7 +167,7 @@
 	return err == nil && quiet
 }
 
-// rawConn returns the raw connection for access to the socket, or nil if it is closed.
+// rawConn returns the raw connection for access to the socket, or nil if c has none or it is closed.
 func rawConn(c net.Conn) syscall.RawConn {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -29,7 +29,8 @@
 const (
 	// StateClosed admits all requests.
 	StateClosed State = "closed"
-	// StateOpen admits one repeatable request at a time, as a trial after a pause.
+	// StateOpen admits one repeatable request at a time, as a trial after a pause; LastResort
+	// requests are admitted sooner (Allow).
 	StateOpen State = "open"
 	// StateHalfOpen admits up to maxTrials repeatable requests at once, as trials.
 	StateHalfOpen State = "half-open"
@@ -108,7 +109,8 @@
 	lastChange time.Time
 	// trialAfter is the pause between lastTrial and the next trial.
 	trialAfter time.Duration
-	lastTrial  time.Time
+	// lastTrial is when the newest trial got its slot, or when the breaker opened if that was later.
+	lastTrial time.Time
 	// running holds the running requests of the server by id, routeMeans the means by route.
 	running    map[string]*request
 	routeMeans map[string]mean
@@ -156,7 +158,9 @@
 	return min(c.MaxSuspicion, maxLastResortSuspicion)
 }
 
-// Allow reports whether a request may be sent to the server now.
+// Allow reports whether a request may be sent to the server now. A closed breaker refuses only
+// Careful and Scarce requests, if the server's Suspicion exceeds what they accept. Any other breaker
+// admits LastResort requests if the server still answers enough (MinUsefulShare), and trials.
 func (b *Breaker) Allow(now time.Time, c Constraints) bool {
 	switch {
 	case b.state == StateClosed:
@@ -218,7 +222,9 @@
 	}
 }
 
-// End records the result of a request. It reports whether the breaker opened or closed.
+// End records the result of a request. It reports whether the breaker opened or closed. A success
+// that took too long counts as a failure, unless Tick has already counted the request as one. An
+// unknown id changes nothing.
 func (b *Breaker) End(now time.Time, id string, result Result) bool {
 	r := b.running[id]
 	if r == nil {
@@ -252,7 +258,8 @@
 	return false
 }
 
-// revertTrial restores the time of the previous trial if the trial was never sent.
+// revertTrial restores the time of the previous trial if the request is the newest trial and was
+// never passed to the server.
 func (b *Breaker) revertTrial(r *request) {
 	if r.trial && !r.started && b.lastTrial.Equal(r.granted) {
 		b.lastTrial = r.previousTrial
--- a/breaker/running.go
+++ b/breaker/running.go
@@ -16,7 +16,7 @@
 
 const (
 	// hangSuspicion is the suspicion at which the breaker opens: a healthy server reaches it
-	// once in e^7, about a thousand, times.
+	// about once in a thousand (e^7) times.
 	hangSuspicion = 7.0
 	// maxLastResortSuspicion bounds the suspicion that a Careful or Scarce request accepts.
 	maxLastResortSuspicion = 3.5
@@ -27,14 +27,15 @@
 	route string
 	// expected is how long the sender expects it to take, or zero if unknown.
 	expected time.Duration
-	// granted is when it got its slot, previousTrial the time of the trial before it if it
-	// is one itself.
+	// granted is when it got its slot, previousTrial, for a trial, the value of
+	// Breaker.lastTrial before it.
 	granted, previousTrial time.Time
 
 	trial   bool
 	overdue bool
 	// worked is how long the server worked on it until resumed, without the time in which
-	// the server waited for nested calls; paused reports that it waits now.
+	// the server waited for nested calls; paused reports that no work time passes now: the server
+	// waits, the request has not been passed to it yet, or its answer is unread.
 	worked  time.Duration
 	resumed time.Time
 	paused  bool
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -57,8 +57,8 @@
 	// minAvoid and maxAvoid bound how long a sidecar that did not reply is avoided.
 	minAvoid = 500 * time.Millisecond
 	maxAvoid = 3 * time.Second
-	// unhealthyPause is the least time before a Careful request asks an unhealthy server
-	// again. Any request asks a full server again after half of the time until it probably
+	// unhealthyPause is the least age of the report of an unhealthy state at which a Careful
+	// request asks the server, or a Scarce one as a last resort. Any request asks a full server again after half of the time until it probably
 	// has a slot, bounded by minFullPause and maxFullPause: repeated requests to all servers
 	// would saturate the network exactly when all are full.
 	unhealthyPause = 300 * time.Millisecond
@@ -66,14 +66,16 @@
 	maxFullPause   = 300 * time.Millisecond
 	// spentPause is the pause before an extra attempt asks a server whose budget was spent.
 	spentPause = 250 * time.Millisecond
-	// lastResortPause is the pause before a request without a better choice becomes a trial
-	// of an unhealthy server.
+	// lastResortPause is the least age of that report at which a LastResort request that is
+	// neither Careful nor Scarce becomes a trial of the server.
 	lastResortPause = 100 * time.Millisecond
-	// movedAvoid is how long a server is avoided at whose address another service runs.
+	// movedAvoid is how long a server is avoided after a server of another service was found at
+	// its address.
 	movedAvoid = 3 * time.Second
 )
 
-// skipReason returns why a server must not be asked for a slot now.
+// skipReason returns why a server must not be asked for a slot now, or DispositionNone if it may
+// be asked.
 func (server *Server) skipReason(now time.Time, request Request) Disposition {
 	age := now.Sub(server.statusAt)
 	switch {
@@ -91,7 +93,8 @@
 	return DispositionNone
 }
 
-// trialDue reports whether an unhealthy server may be asked.
+// trialDue reports whether an unhealthy server may be asked by this request now. Unlike
+// Status.TrialDue it depends on the constraints of the request.
 func (server *Server) trialDue(now time.Time, request Request) bool {
 	age := now.Sub(server.statusAt)
 	switch {
--- a/choice/survey.go
+++ b/choice/survey.go
@@ -22,7 +22,7 @@
 	DispositionSpent Disposition = "spent"
 )
 
-// Results for servers that are not skipped, and dispositionReportedLeaving.
+// Further results, which only a Survey uses; its fields say what they mean.
 const (
 	dispositionAsked  Disposition = "asked"
 	dispositionTried  Disposition = "tried"
@@ -39,7 +39,8 @@
 	Known, Asked      int
 	Leaving, Stopping int
 	Full, Sick, Spent int
-	// Silent servers are asked last: their sidecars did not reply.
+	// Silent servers are asked last: their sidecars did not reply, or a server of another
+	// service runs at their address.
 	Silent int
 	// Tried servers have received the request.
 	Tried int
@@ -83,8 +84,9 @@
 	return " beliefs=" + strings.Join(texts, ",")
 }
 
-// Survey counts the servers for a request that asked some and was sent to others (tried). With
-// detail it also fills Beliefs.
+// Survey counts the servers at the end of a request's search. asked holds the names of the servers
+// that were asked for a slot, tried of those that have received the request; a server in both
+// counts as tried. With detail it also fills Beliefs.
 func (s *Service) Survey(now time.Time, request Request, asked, tried map[string]bool, detail bool) Survey {
 	survey := Survey{Known: len(s.servers)}
 	for _, server := range s.servers {
@@ -100,7 +102,7 @@
 	return survey
 }
 
-// since returns the time since then, or a negative value if it is zero.
+// since returns the time from then to now, or a negative value if then is the zero time.
 func since(now, then time.Time) time.Duration {
 	if then.IsZero() {
 		return -time.Second
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -157,6 +157,7 @@
 	return s.State != slatewind.ServerEjected && s.State != slatewind.ServerTrial
 }
 
+// capacity reports whether the server counts as capacity.
 func (s *Server) capacity() bool {
 	return s.Serving() && !s.Leaving && !s.Unreachable
 }
@@ -264,6 +265,7 @@
 	return 1
 }
 
+// rampShare returns the weight of a server at a time after the beginning of its ramp.
 func rampShare(passed time.Duration) float64 {
 	share := rampWeight + (1-rampWeight)*float64(passed)/float64(rampTime)
 	return min(share, 1)
@@ -324,6 +326,7 @@
 	d.idle = idle
 }
 
+// advance applies the changes of one server's state that are due.
 func (d *Detector) advance(now time.Time, i int) {
 	s := d.servers[i]
 	if !s.requestedAt.IsZero() && now.Sub(s.requestedAt) >= confirmWait {
@@ -367,6 +370,7 @@
 // is overdue. About one healthy request in a hundred exceeds it.
 const overdueSigmas = 2.33
 
+// decide records a decision for TakeDecisions.
 func (d *Detector) decide(now time.Time, kind slatewind.DecisionKind, server, reason, evidence string) {
 	d.idle = false
 	d.decisions = append(d.decisions, slatewind.Decision{
--- a/outlier/eject.go
+++ b/outlier/eject.go
@@ -44,6 +44,7 @@
 	return best, name
 }
 
+// judgeTrial ejects a server on trial again or starts its ramp, once there is enough evidence.
 func (d *Detector) judgeTrial(now time.Time, s *Server, score float64) {
 	switch {
 	case score >= d.caution*rejectAt:
@@ -53,6 +54,8 @@
 	}
 }
 
+// judgeSuspect ends the suspicion of a server if its score is low enough; at the threshold it
+// considers an ejection again.
 func (d *Detector) judgeSuspect(now time.Time, i int, score float64) {
 	s := d.servers[i]
 	if score < d.caution*clearAt {
@@ -84,6 +87,7 @@
 	d.decide(now, slatewind.DecisionSuspect, s.Name, "its score reached the threshold, the floor keeps it in service at a lower weight", d.evidence(s))
 }
 
+// takeOut ejects a server, whatever the floor, for a time that doubles with each ejection.
 func (d *Detector) takeOut(now time.Time, s *Server, reason string) {
 	evidence := d.evidence(s)
 	if s.State == slatewind.ServerHealthy && now.Sub(s.healthy) >= forgiveAfter {
@@ -98,6 +102,7 @@
 	d.decide(now, slatewind.DecisionEject, s.Name, reason, fmt.Sprintf("%s wait=%s", evidence, wait))
 }
 
+// ramp starts the ramp of a server and resets its scores.
 func (d *Detector) ramp(now time.Time, s *Server, reason string) {
 	s.State = slatewind.ServerRamp
 	s.rampFrom = now
@@ -128,6 +133,7 @@
 	return d.capacity()
 }
 
+// capacity implements Capacity.
 func (d *Detector) capacity() int {
 	n := 0
 	for _, s := range d.servers {
@@ -153,6 +159,7 @@
 	return leastSevere
 }
 
+// evidence returns what a decision about a server is based on, as key=value pairs.
 func (d *Detector) evidence(s *Server) string {
 	score, name := d.effectiveScore(s)
 	return fmt.Sprintf("chart=%s score=%.1f threshold=%.1f errors=%d/%d capacity=%d floor=%d last=%.1fx spread=%.2f severity=%.1f",
--- a/outlier/ring.go
+++ b/outlier/ring.go
@@ -29,7 +29,8 @@
 	slatewind.ResultProbeFailed,
 }
 
-// Add adds an outcome to the ring, which drops the oldest one if it is full.
+// Add adds an outcome to the ring, which drops the oldest one if it is full. A result that is not
+// in packedResults is stored as ResultOK.
 func (r *Ring) Add(class uint8, result slatewind.Result, latency time.Duration) {
 	log := min(math.Log(max(float64(latency), 1))*logScale, math.MaxUint16)
 	code := uint32(0)
@@ -59,7 +60,7 @@
 	return out
 }
 
-// Unpack decodes a packed outcome of a server.
+// Unpack decodes a packed outcome of a server. An unknown code of a result is read as ResultOK.
 func Unpack(server string, packed uint32) slatewind.Observation {
 	code := int(packed >> 16 & 0xff)
 	if code >= len(packedResults) {
--- a/policy/digest.go
+++ b/policy/digest.go
@@ -9,7 +9,7 @@
 )
 
 // ApplyDigest applies a digest of a server from its sidecar, received with a reply (direct)
-// or by gossip.
+// or by gossip. A digest of an unknown server, or one older than the newest applied, is ignored.
 func (s *Service) ApplyDigest(now time.Time, d *slatewindv1.Digest, direct bool) {
 	i := s.detector.Find(d.GetServer())
 	if i < 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -52,7 +52,8 @@
 	loadAt time.Time
 	// reportedAt is when the newest digest came with a reply.
 	reportedAt time.Time
-	lastTrial  time.Time
+	// lastTrial is when the server was last picked for a trial request.
+	lastTrial time.Time
 	// backoff is zero if the sidecar can be reached. Otherwise no request is sent before
 	// retryAt, unless no other server can be chosen.
 	backoff time.Duration
--- a/retry/earned.go
+++ b/retry/earned.go
@@ -29,8 +29,8 @@
 type earned struct {
 	// firsts counts all requests.
 	firsts int
-	// parts holds a mark for the beginning of each part of the last two spans, spent one for
-	// each attempt that was paid for within the last span. Both are ordered by time, oldest first.
+	// parts holds a mark for the beginning of each part of the last two spans; spent holds one
+	// for each attempt that was paid for within the last span. Both are ordered by time, oldest first.
 	parts, spent []mark
 }
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Window limits the extra arrivals at one server. It is not safe for concurrent use; the
+// Window limits the extra arrivals at one server, which are arrivals of extra attempts. It is not safe for concurrent use; the
 // caller must hold a lock.
 type Window struct {
 	// ratio is the fraction of an attempt that each request earns.
 	ratio float64
 	// span is the length of the sliding window.
 	span time.Duration
-	// slack is the share of this server, in attempts for each span.
+	// slack is this server's share of the service's slack, in attempts for each span.
 	slack float64
 	// saved is the level of the token bucket, in attempts. It is negative after charges.
 	saved float64
--- a/search/search.go
+++ b/search/search.go
@@ -36,8 +36,8 @@
 	// of the queues that the request waits in: nearby servers are tried before one that causes
 	// traffic between data centres.
 	waitGap = 0.75
-	// widenShare is the share of its objective that a request waits at these servers before it
-	// asks as many others. The first ones are mostly near: a short wait there is cheaper than
+	// widenShare is the share of its objective that a request waits at up to maxQueued servers
+	// before it asks as many others. The first ones are mostly near: a short wait there is cheaper than
 	// traffic between data centres.
 	widenShare = 0.15
 	// minRoundPause is the first pause between rounds. It doubles up to maxRoundPause, since
@@ -127,8 +127,8 @@
 // Asked returns the names of the servers that were asked.
 func (s *Search) Asked() map[string]bool { return s.asked }
 
-// Begin starts a round that asks the servers in the given order, but for those that have
-// received the request. It takes ownership of the slice, and returns how many servers remain.
+// Begin starts a round with the given servers, which are sorted by cost, without those that have
+// received the request. Replies may change the order in which they are asked (choice.Queue). It takes ownership of the slice, and returns how many servers remain.
 func (s *Search) Begin(servers []choice.Candidate) int {
 	if len(s.request.Tried) > 0 {
 		servers = slices.DeleteFunc(servers, func(server choice.Candidate) bool { return s.request.Tried[server.Name] })
@@ -158,7 +158,7 @@
 }
 
 // suspicionLimit returns the suspicion of a server that the request accepts, by the cost of
-// the next choice.
+// the next choice. It is infinite if there is none.
 func (s *Search) suspicionLimit(server choice.Candidate) float64 {
 	next, left := s.queue.Next()
 	if !left {
