--- a/config/check.go
+++ b/config/check.go
@@ -66,6 +66,7 @@
 	findings Findings
 }
 
+// add adds a finding at the position of path in the file (see nodeAt).
 func (c *checker) add(check, message string, path ...any) {
 	n := nodeAt(c.document, path...)
 	c.findings = append(c.findings, Finding{c.file, n.Line, n.Column, check, message})
@@ -82,6 +83,7 @@
 	return c.findings
 }
 
+// checkServices checks the services and their servers, and returns the names of the services.
 func (c *checker) checkServices(fleet *slatewindv1.Fleet) map[string]bool {
 	services := map[string]bool{}
 	servers := map[string]bool{}
--- a/config/parse.go
+++ b/config/parse.go
@@ -35,8 +35,8 @@
 // syntaxError matches an error of the YAML parser, which states only the line.
 var syntaxError = regexp.MustCompile(`line (\d+): (.*)`)
 
-// ParseFleet decodes and checks the text of the operators' file; file is its name in the
-// findings. The error, if any, is of type Findings.
+// ParseFleet decodes and checks the text of the operators' file and sets the defaults; file is
+// its name in the findings. The error, if any, is of type Findings.
 func ParseFleet(file string, text []byte) (*slatewindv1.Fleet, error) {
 	fleet := &slatewindv1.Fleet{}
 	document, findings := decode(file, text, fleet)
@@ -50,7 +50,8 @@
 	return fleet, nil
 }
 
-// LoadProcess reads, decodes and checks the settings file of one process.
+// LoadProcess reads, decodes and checks the settings file of one process. The error is of type
+// Findings unless the file cannot be read.
 func LoadProcess(file string) (*slatewindv1.Process, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return ParseProcess(file, text)
 }
 
-// ParseProcess decodes and checks the text of a process's settings; file is its name in the
-// findings. The error, if any, is of type Findings.
+// ParseProcess decodes and checks the text of a process's settings and sets the defaults; file is
+// its name in the findings. The error, if any, is of type Findings.
 func ParseProcess(file string, text []byte) (*slatewindv1.Process, error) {
 	process := &slatewindv1.Process{}
 	document, findings := decode(file, text, process)
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -13,7 +13,8 @@
 )
 
 // Version identifies a settings file. Versions are ordered by the platform's revision, then by
-// digest.
+// digest. For settings that the platform publishes in its own format, Revision is their version
+// number, and Era and Digest are 0.
 type Version struct {
 	Era      uint64 `json:"era,omitempty"`
 	Revision uint64 `json:"revision"`
@@ -139,6 +140,8 @@
 	return findPrefix(t.hosts[""], method, path)
 }
 
+// findPrefix returns the route that accepts the method under the longest prefix of whole segments
+// of path, or nil if there is none.
 func findPrefix(prefixes map[string][]*slatewindv1.Route, method, path string) *slatewindv1.Route {
 	if len(prefixes) == 0 {
 		return nil
--- a/config/store.go
+++ b/config/store.go
@@ -51,7 +51,8 @@
 }
 
 // Offer puts a file in force if it is newer than the file in force and passes all checks. It
-// reports whether this call put the file in force. The error is of type Findings.
+// reports whether this call put the file in force; a file that is not newer is ignored without
+// an error. The error is of type Findings.
 func (s *Store) Offer(now time.Time, source string, revision slatewind.Revision, text []byte) (bool, error) {
 	version := Version{Era: revision.Era, Revision: revision.Number, Digest: xxhash.Sum64(text)}
 	s.mu.Lock()
@@ -108,8 +109,8 @@
 	s.previous = s.previous[max(0, len(s.previous)-maxPrevious):]
 }
 
-// recordStale records in the journal that an offered version is older than the one in force. The
-// caller holds mu.
+// recordStale records in the journal that an offered version was ignored because it is not newer
+// than the one in force. The version in force itself is not recorded. The caller holds mu.
 func (s *Store) recordStale(now time.Time, source string, offered Version) {
 	current := s.Version()
 	if offered == current {
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -15,8 +15,8 @@
 // newPool returns the pool of connections to peers. The bytes sent and received are counted in m.
 func newPool(m *metrics.Metrics) *link.Pool { return link.NewPool(m.Traffic) }
 
-// localLinks calls the sidecar of this process directly where a request is addressed to it, and
-// all others through the pool.
+// localLinks calls the sidecar of this process directly, and those of other processes through
+// the pool.
 type localLinks struct {
 	pool *link.Pool
 	// ownAddress is the peer address of this process.
--- a/daemon/nodesink.go
+++ b/daemon/nodesink.go
@@ -44,7 +44,7 @@
 	n.inbound.Removed(now, name)
 }
 
-// updateSharer passes the local server's position among the servers of its service to the sidecar.
+// updateSharer passes the local server's position among the servers of its service to inbound.
 // These servers share the limit on extra attempts.
 func (n *Node) updateSharer() {
 	local := n.settings.GetLocalServer()
--- a/daemon/nodestop.go
+++ b/daemon/nodestop.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// defaultGrace is the time from the signal to stop until the process is killed,
-	// if the bounds do not state it.
+	// defaultGrace is the time from the signal to stop until the process is killed, if
+	// the setting bounds.grace is missing.
 	defaultGrace = 6 * time.Second
 	// peerCloseTimeout bounds how long a stop waits for replies to peers to be written.
 	peerCloseTimeout = 200 * time.Millisecond
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -56,6 +56,8 @@
 	reply      *attemptReply
 }
 
+// cancelTimeout returns the part of a request's timeout that is reserved for cancelling
+// an attempt.
 func cancelTimeout(rq *request) time.Duration {
 	share := rq.route.GetTimeout().AsDuration() / cancelTimeoutDivisor
 	return min(max(share, minCancelTimeout), maxCancelTimeout)
@@ -90,6 +92,8 @@
 	}
 }
 
+// recordUnreachable reports to the policy that nothing could be sent to a server, and
+// returns the result of the attempt.
 func (in *Ingress) recordUnreachable(rq *request, server *slatewindv1.Server, reason string) attemptResult {
 	rq.shard.mu.Lock()
 	rq.shard.policy.ConnectFailed(time.Now(), server.GetName())
@@ -132,6 +136,7 @@
 	return result, stale
 }
 
+// ranOf returns the result of an attempt for a once-chain from the head of its reply.
 func ranOf(head *slatewindv1.RunHead) once.Ran {
 	switch slatewind.Outcome(head.GetOutcome()) {
 	case slatewind.OutcomeAnswer:
--- a/ingress/once.go
+++ b/ingress/once.go
@@ -84,6 +84,7 @@
 	return candidates, home
 }
 
+// serving reports whether a server may get a request that must not be repeated.
 func (in *Ingress) serving(rq *request, server *slatewindv1.Server) bool {
 	rq.shard.mu.Lock()
 	defer rq.shard.mu.Unlock()
--- a/ingress/request.go
+++ b/ingress/request.go
@@ -125,6 +125,8 @@
 	return fmt.Sprintf("%016x-%x", in.prefix, in.nextID.Add(1))
 }
 
+// reject answers a request that is refused before anything is sent. An err that is
+// not a *rejection gets status 400.
 func (in *Ingress) reject(w http.ResponseWriter, id string, err error) {
 	bad := &rejection{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &bad)
@@ -257,6 +259,8 @@
 	return nil
 }
 
+// readBody reads the body. The error is a *rejection: status 413 above the route's
+// limit, status 400 if the body cannot be read.
 func (rq *request) readBody(w http.ResponseWriter, r *http.Request) error {
 	limit := int64(rq.route.GetMaxBodyBytes())
 	body, err := link.ReadBody(w, r, limit)
--- a/once/chain.go
+++ b/once/chain.go
@@ -112,6 +112,8 @@
 	}
 }
 
+// handOver continues with the next candidate, or ends the chain as not run after the
+// last one.
 func (c *Chain) handOver(reason string) {
 	if c.next.Candidate+1 == c.candidates {
 		c.finish(slatewind.OutcomeNotRun, reason)
--- a/once/once.go
+++ b/once/once.go
@@ -226,6 +226,7 @@
 	return s.beginRevoked(now, known, r)
 }
 
+// beginRevoked decides about a request whose record is revoked or sealed.
 func (s *Store) beginRevoked(now time.Time, known *record, r Request) Verdict {
 	if r.Claim == slatewind.ClaimFirst {
 		return Verdict{Action: ActionRefuse, Reason: "the key was revoked here"}
@@ -240,6 +241,7 @@
 	return Verdict{Action: ActionRun, Reason: "the key is sealed at every candidate and none had run the request"}
 }
 
+// run records a request as running, or refuses it if the store has no room.
 func (s *Store) run(now time.Time, r Request, reason string) Verdict {
 	if !s.makeRoom(now) {
 		return Verdict{Action: ActionRefuse, Reason: "the store of once-records is full"}
@@ -403,7 +405,8 @@
 	return s.evictBan(now)
 }
 
-// makeRoomForBan does the same for a record that only prevents runs.
+// makeRoomForBan evicts records as needed to store one more ban, and reports whether
+// there is room.
 func (s *Store) makeRoomForBan(now time.Time) bool {
 	return s.banAllowed(now) && s.makeRoom(now)
 }
@@ -414,6 +417,8 @@
 	return s.bans.Len() < s.maxRecords/2 || s.evictBan(now)
 }
 
+// evictBan evicts the ban with the oldest last change, and reports whether it did: it
+// does not if that ban is younger than minBanAge or there is none.
 func (s *Store) evictBan(now time.Time) bool {
 	e := s.bans.Front()
 	if e == nil || now.Sub(e.Value.(*record).since) < minBanAge {
@@ -430,6 +435,7 @@
 	s.remove(r)
 }
 
+// moveCover moves the cover of a service forward to a time, never back.
 func (s *Store) moveCover(to time.Time, service string) {
 	if c := s.covers[service]; c != nil && to.After(c.start) {
 		c.start = to
--- a/once/resolve.go
+++ b/once/resolve.go
@@ -81,7 +81,7 @@
 // Candidates orders the servers of a service for one key by rendezvous hashing.
 // All processes with the same server names get the same order, and a change of one
 // server moves only the keys that it gains or loses. The indices of the servers
-// are written to order, which must be as long as servers.
+// are written to order, home first; order must be as long as servers.
 func Candidates(key string, servers []string, order []int) {
 	for i := range order {
 		order[i] = i
--- a/sidecar/local_server.go
+++ b/sidecar/local_server.go
@@ -84,7 +84,7 @@
 	retryAfter time.Duration
 }
 
-// admit records the arrival of an attempt.
+// admit records the arrival of an attempt and returns attempt.Admitted or why it is refused.
 func (ls *localServer) admit(now time.Time, id string, incarnation uint64) attempt.Refusal {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -149,7 +149,8 @@
 }
 
 // begin is the last check before an attempt that holds a slot is sent to the
-// server.
+// server. It returns nil if the attempt may be sent, and records its start. After a
+// refusal the caller releases the slot.
 func (ls *localServer) begin(now time.Time, id string, class uint8, deadline time.Time, cancel context.CancelFunc) *refusal {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -192,7 +193,8 @@
 	ls.deliver(ls.slots.Done(now, it, took))
 }
 
-// cancel prevents an attempt from being started and reports whether it was. A
+// cancel prevents an attempt from being started and returns whether it was started
+// before, or CancelUnknown (see attempt.Table.Cancel). A
 // running attempt is aborted unless it is of a once-request.
 func (ls *localServer) cancel(now time.Time, id string, incarnation uint64) slatewind.CancelState {
 	ls.mu.Lock()
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -238,7 +238,8 @@
 	return s.settleUnstarted(r)
 }
 
-// settleUnstarted updates the record of an attempt that will not start.
+// settleUnstarted updates the record of an attempt that will not start, and returns
+// whether another attempt has started the request (see once.Store.Cancelled).
 func (s *Sidecar) settleUnstarted(r once.Request) slatewind.CancelState {
 	s.onceMu.Lock()
 	defer s.onceMu.Unlock()
