--- a/crash/crash.go
+++ b/crash/crash.go
@@ -42,6 +42,7 @@
 // abandonedRun is a run whose caller left before it ended.
 type abandonedRun struct {
 	Run
+	// at is when the caller left.
 	at time.Time
 }
 
@@ -54,7 +55,7 @@
 
 	// probing is held while a goroutine determines whether the server crashed.
 	probing sync.Mutex
-	// last is the id of the newest crash, at the time of its detection. Both are guarded by
+	// last is the id of the newest crash, and at is when it was detected. Both are guarded by
 	// probing.
 	last uint64
 	at   time.Time
@@ -81,8 +82,8 @@
 }
 
 // Failed returns the crash during which a run failed with err. ok is false if the server did not
-// crash, ended as planned, or its state cannot be determined. Each run that a crash broke reports
-// its own request, and one of them also the abandoned ones.
+// crash, ended as planned, or its state cannot be determined, and if no request is suspected. Each
+// run that a crash broke reports its own request, and one of them also the abandoned ones.
 func (d *Detector) Failed(run Run, err error) (end quarantine.Crash, ok bool) {
 	if !isConnectionError(err) || !run.Sent && !d.hasAbandoned() {
 		return end, false
@@ -116,7 +117,8 @@
 	return false
 }
 
-// crashSince returns the id of the crash that broke a run which began at a given time.
+// crashSince returns the id of the crash that broke a run which began at a given time: the newest
+// one if it was detected after that, or else a new one if the server refuses a connection now.
 func (d *Detector) crashSince(began time.Time) (id uint64, ok bool) {
 	d.probing.Lock()
 	defer d.probing.Unlock()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,10 +1,10 @@
 // Package gossip keeps membership and settings consistent among the processes.
 //
 // Each second a process exchanges state with a few random others: the version of its
-// settings, recent changes of members, and the digests of its own servers. A process that
-// learns of newer settings fetches the missing chunks from that peer, puts them in force
-// and pushes the new version to others at once. A few readers in each data centre watch the
-// platform; the other processes get its data by gossip.
+// settings, recent changes of members, and the digests of its own servers (summaries of
+// their load and state). A process that learns of newer settings fetches the missing chunks
+// from that peer, puts them in force and pushes the new version to others at once. A few
+// readers in each data centre watch the platform; the other processes get its data by gossip.
 package gossip
 
 import (
@@ -49,7 +49,8 @@
 	Fetch(ctx context.Context, address string, request *slatewindv1.FetchRequest) (*slatewindv1.FetchReply, error)
 }
 
-// Events is the host's side of gossip: it takes what is received and supplies what is sent.
+// Events connects gossip to the rest of the process: it takes what is received and supplies
+// what is sent.
 type Events interface {
 	// SettingsChanged is called when another settings file is in force.
 	SettingsChanged(now time.Time, snapshot *config.Snapshot)
@@ -395,8 +396,8 @@
 	return changed, leaves
 }
 
-// Hint reports that the process at an address has a version of the settings. If it is newer
-// than the own one, the settings are fetched from there.
+// Hint is called with the version of the settings that the process at an address has. If it
+// is newer than the version of this process, the settings are fetched from there.
 func (g *Gossip) Hint(address string, version config.Version) {
 	if version.Newer(g.store.Version()) {
 		g.fetchFrom(address)
@@ -422,7 +423,8 @@
 	}()
 }
 
-// fetch gets the missing chunks of the settings from a peer and offers the settings.
+// fetch gets the missing chunks of the settings from a peer and offers the settings. If it
+// fails, the next exchange with a peer that has newer settings starts another fetch.
 func (g *Gossip) fetch(address string) {
 	ctx, cancel := context.WithTimeout(g.ctx, fetchTimeout)
 	defer cancel()
--- a/history/history.go
+++ b/history/history.go
@@ -18,9 +18,11 @@
 type Journal struct {
 	mu      sync.Mutex
 	entries []slatewind.Decision
-	next    int
-	full    bool
-	onAdd   func(slatewind.Decision)
+	// next is the index of the entry that is written next; full means that all entries are in use.
+	// Both are guarded by mu, as is entries.
+	next  int
+	full  bool
+	onAdd func(slatewind.Decision)
 }
 
 // New returns a journal for the given number of entries; zero means DefaultEntries. onAdd is called
@@ -32,7 +34,7 @@
 	return &Journal{entries: make([]slatewind.Decision, entries), onAdd: onAdd}
 }
 
-// Resize changes the number of entries, keeping the newest.
+// Resize changes the number of entries, keeping the newest; zero means DefaultEntries.
 func (j *Journal) Resize(entries int) {
 	if entries <= 0 {
 		entries = DefaultEntries
--- a/link/headers.go
+++ b/link/headers.go
@@ -7,8 +7,8 @@
 	"slatewind.example/slatewind/api/slatewindv1"
 )
 
-// HopByHop is the set of hop-by-hop header fields, by canonical name, which must not be
-// forwarded (RFC 9110, section 7.6.1).
+// HopByHop is the set of header fields, by canonical name, that must not be forwarded: the
+// hop-by-hop fields (RFC 9110, section 7.6.1) and others that concern a single connection.
 var HopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
--- a/link/heartbeat.go
+++ b/link/heartbeat.go
@@ -27,11 +27,11 @@
 	minCheckInterval = 10 * time.Millisecond
 )
 
-// monitor closes the connection to one peer when calls are in progress on it and
-// nothing is received any more, not even responses to heartbeats. Only calls
-// start heartbeats; a connection without calls has none.
+// monitor closes the connection to one peer when calls are in progress on it and nothing is
+// received any more, not even responses to heartbeats, although the peer responds on a new
+// connection. Only calls start heartbeats; a connection without calls has none.
 //
-// A peer that does not respond on a new connection either is suspended or unreachable. Its
+// A peer that does not respond on a new connection is either suspended or unreachable. Its
 // connection is kept, since the peer may resume and still send the responses that are ready.
 type monitor struct {
 	address string
--- a/link/link.go
+++ b/link/link.go
@@ -6,10 +6,11 @@
 // only if its attempt ID, length and checksum are correct.
 //
 // A connection that receives nothing while calls are in progress is closed within a second
-// (see monitor).
+// if the peer responds on a new one (see monitor).
 //
 // Each reservation of a slot has a stream of its own, which also carries the request and
-// its answer (Use). Processes get from each other what the platform published by Since.
+// its answer (Use). By calls of Since, processes get from each other what the platform
+// published.
 package link
 
 import (
@@ -314,7 +315,8 @@
 	return call(ctx, p, address, request, slatewindv1.NewSidecarClient, slatewindv1.SidecarClient.Cancel)
 }
 
-// Seal asks the sidecar at address for the state of a once-request.
+// Seal asks the sidecar at address for the state of a request of kind once. If the sidecar has
+// no record of it, it refuses later runs of it.
 func (p *Pool) Seal(ctx context.Context, address string, request *slatewindv1.SealRequest) (*slatewindv1.SealReply, error) {
 	return call(ctx, p, address, request, slatewindv1.NewSidecarClient, slatewindv1.SidecarClient.Seal)
 }
--- a/link/settings.go
+++ b/link/settings.go
@@ -35,7 +35,8 @@
 )
 
 // Settings fetches the settings of the process at an IP:port address if they are newer than
-// a version. It returns nil if they are not, or if maxTransfers are in progress there.
+// a version. It returns nil if they are not, or if maxTransfers are in progress there. It
+// fails if a part does not arrive in time or the settings are corrupt.
 func (p *Pool) Settings(ctx context.Context, address string, version uint64) (*slatewind.PublishedSettings, error) {
 	conn, err := p.conn(address)
 	if err != nil {
--- a/link/suspects.go
+++ b/link/suspects.go
@@ -10,7 +10,7 @@
 
 // Suspects is what two processes exchange about requests during which servers crashed.
 type Suspects struct {
-	// Sum is a hash of all records that the sender knows.
+	// Sum is a hash of the records that the sender has for others (quarantine.Table.Sum).
 	Sum     uint64
 	Records []quarantine.Record
 }
--- a/link/updates.go
+++ b/link/updates.go
@@ -53,9 +53,10 @@
 	// UpdateSince returns the servers that changed after a revision of the store, for a process
 	// that has the given version of the settings.
 	UpdateSince func(after slatewind.Revision, version uint64) slatewind.ServerUpdate
-	// Exchange takes the reports of another process and returns those of this one.
+	// Exchange takes the observations of another process and returns those of this one.
 	Exchange func(observations Observations) Observations
-	// ReceiveSuspects takes records about servers that have just crashed, from another process.
+	// ReceiveSuspects takes records of requests during which servers have just crashed, from
+	// another process.
 	ReceiveSuspects func(records []quarantine.Record)
 	// CurrentSettings returns the newest settings of this process, or nil.
 	CurrentSettings func() *slatewind.PublishedSettings
--- a/member/member.go
+++ b/member/member.go
@@ -31,7 +31,7 @@
 	Listed slatewind.VMState `json:"listed,omitempty"`
 	// Updated is when the entry last changed or was confirmed by a direct call.
 	Updated time.Time `json:"updated"`
-	// Recorded is when the last change of the entry to be gossiped was recorded.
+	// Recorded is when the last change of the entry that is gossiped was recorded.
 	Recorded time.Time `json:"noted"`
 	// Failed is the number of consecutive calls without a reply.
 	Failed int `json:"failed,omitempty"`
@@ -336,9 +336,9 @@
 }
 
 // Peers returns up to n random processes to gossip with. The first is in the process's own
-// data centre if one is found. With probability goneRetryProbability a gone one is added, so
-// that both sides of a healed network partition find each other. The cost does not depend on
-// the number of known processes.
+// data centre if one is found. With probability goneRetryProbability, or if there is no
+// other, a gone one is added to them, so that both sides of a healed network partition find
+// each other. The cost does not depend on the number of known processes.
 func (t *Table) Peers(r *rand.Rand, n int) []Entry {
 	near := t.entries[t.self].DataCentre
 	var chosen []Entry
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -7,11 +7,11 @@
 // the sidecars of the other servers of the service, and to everybody by gossip. A request under
 // which two servers crashed without an answer in between is refused everywhere before it is sent.
 //
-// A harmless request may be running on two servers that crash for another reason, above all one
-// that is frequent. So a refusal lasts some seconds; then one run is let through as a trial, or at
-// once if the request was answered a moment before. Any complete answer clears the request. Only a
-// trial during which the server crashed too confirms that the request is the cause; the next trial
-// then comes after minutes, since a release of the servers may have fixed the fault.
+// A harmless request, above all a frequent one, may be running on two servers that crash for
+// another reason. So a refusal lasts some seconds; then one run is let through as a trial. If the
+// request was answered a moment before, the trial comes at once. Any complete answer clears the
+// request. Only a trial during which the server crashed too confirms that the request is the cause;
+// the next trial then comes after minutes, since a release of the servers may have fixed the fault.
 //
 // Records consist of events with unique ids, and the only change an event undergoes is to become
 // void (or, for a crash, to be marked as that of a trial). So the order, the number of times and
@@ -58,9 +58,8 @@
 	keepTime            = 2 * maxFailedTrialDelay
 	singleCrashKeepTime = 10 * time.Minute
 	clearedKeepTime     = time.Minute
-	// recentAnswerTime is the minimum time for which an answer counts as recent; minRecentAnswers
-	// is the number of answers that are remembered at least before the older ones are dropped
-	// early.
+	// recentAnswerTime is the minimum time for which an answer counts as recent, unless so many
+	// follow that it is dropped early; at least the last minRecentAnswers are always remembered.
 	recentAnswerTime = 15 * time.Second
 	minRecentAnswers = 2048
 	// maxRecords limits the number of records, maxEvents the number of events per record.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -73,7 +73,7 @@
 func (r *record) newest() time.Time { return r.events[len(r.events)-1].at }
 
 // nextTrialDelay returns the time from the newest event to the next trial. recent means that the
-// request was answered shortly before the first crash.
+// request was answered recently at this process (recentAnswers).
 func (r *record) nextTrialDelay(recent bool) time.Duration {
 	failed, trials := r.count(KindFailedTrial), r.count(KindTrial)
 	switch {
@@ -101,8 +101,8 @@
 }
 
 // verdict returns whether the request may be sent now, given the number of crashes attributed to
-// it. It does not decide which process makes the trial; delay is how much later than the first
-// process this one may.
+// it. delay is how much later than the first process this one may make a trial (Turn); it does not
+// apply to recently answered requests.
 func (r *record) verdict(now time.Time, attributed int, recent bool, delay time.Duration) Verdict {
 	v := Verdict{Crashes: attributed, Proven: r.count(KindFailedTrial) > 0}
 	if v.Crashes < refuseAfterCrashes {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,7 +14,8 @@
 // concurrent use.
 type Table struct {
 	// publish sends new records to other processes at once; onRefused is called when a request
-	// begins to be refused. Both are called without the lock held and are never nil.
+	// begins to be refused, that is, reaches refuseAfterCrashes. Both are called without the lock
+	// held and are never nil.
 	publish   func([]Record)
 	onRefused func(Digest, Verdict)
 
@@ -130,7 +131,7 @@
 }
 
 // Answered records that a server answered a request completely, so that the request is not the
-// cause of crashes. It is published at once if the request was refused until now.
+// cause of crashes. The record is published at once if the request was refused until now.
 func (t *Table) Answered(now time.Time, digest Digest) {
 	if record, cleared := t.answered(now, digest); cleared {
 		t.publish([]Record{record})
@@ -161,7 +162,7 @@
 	}
 }
 
-// merge returns the requests that are refused from now on.
+// merge adds the records and returns the requests that have reached refuseAfterCrashes by it.
 func (t *Table) merge(now time.Time, records []Record) (refused []Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +204,8 @@
 	t.recountCrashes()
 }
 
-// Record returns the record of one request, for the process that asked to send it.
+// Record returns the record of one request, for the process that asked to send the request. It has
+// no events if the request is not known.
 func (t *Table) Record(now time.Time, digest Digest) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ratelimit/allocator.go
+++ b/ratelimit/allocator.go
@@ -69,7 +69,7 @@
 
 // HostsChanged records that the set of hosts changed. roleOf returns the role of this process for a
 // workspace, empty if it has none. The accounts of workspaces that moved to other processes are
-// removed, since those grant tokens without notice.
+// removed, since those processes now grant tokens of which this one is not told.
 func (l *Allocator) HostsChanged(now time.Time, roleOf func(workspace string) Role) {
 	l.since = now
 	for name, a := range l.accounts {
@@ -106,8 +106,8 @@
 		l.accounts[q.Limit.Workspace] = a
 	}
 	if q.Role == RoleSuccessor && now.Sub(a.used) > successorIdleTime {
-		// In the meantime the home granted the tokens that accrued. The share of a stand-in is
-		// always its own.
+		// In the meantime the home granted the tokens that accrued. A stand-in keeps its tokens,
+		// since nobody else grants its share.
 		a.bucket.DropToOne(now)
 	}
 	if q.Limit.Version > a.limit.Version {
@@ -121,8 +121,8 @@
 // one token.
 const successorIdleTime = 100 * time.Millisecond
 
-// newAccount returns the account of a workspace for which this process had none. A home has granted
-// nothing since it became the home, so its bucket has been filling since then.
+// newAccount returns the account of a workspace for which this process had none. A home without an
+// account has granted nothing since it became the home, so the bucket has been filling since then.
 func (l *Allocator) newAccount(now time.Time, q TokenRequest) *account {
 	a := &account{limit: q.Limit, role: q.Role, used: now}
 	rate, burst := a.shares()
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -118,9 +118,9 @@
 	return ""
 }
 
-// Grant replies to the token request of another process. If that process takes this one for the
-// home but this one does not know so, it grants only the share of a stand-in: the previous home may
-// still be granting.
+// Grant replies to a token request of another process or of this one. If another process takes this
+// one for the home but this one does not know so, it grants only the share of a stand-in: the
+// previous home may still be granting.
 func (l *Limiter) Grant(now time.Time, q TokenRequest) TokenReply {
 	if q.Role == RoleHome && l.ownRole(q.Limit.Workspace) != RoleHome {
 		q.Role = RoleStandIn
@@ -180,7 +180,8 @@
 	return v
 }
 
-// update calls f with the consumer of a workspace while holding the lock of its shard.
+// update calls f with the consumer of a workspace while holding the lock of its shard. If there is
+// no room for a new consumer, all others of the shard are dropped first.
 func (l *Limiter) update(workspace string, f func(s *Consumer)) {
 	shard := &l.shards[xxhash.Sum64String(workspace)%consumerShards]
 	shard.mu.Lock()
@@ -197,7 +198,7 @@
 }
 
 // ask requests tokens from the home of a workspace and, if that does not reply, from the process
-// that ranks second.
+// that ranks second. It returns false if neither replied.
 func (l *Limiter) ask(ctx context.Context, q TokenRequest) (TokenReply, bool) {
 	first, second := l.homes.Of(q.Limit.Workspace)
 	q.Role = RoleHome
@@ -213,8 +214,8 @@
 	return answer, state == nil
 }
 
-// askOne requests tokens from the process at a host. It returns the outage if that did not reply,
-// or nil.
+// askOne requests tokens from the process at a host, unless it is in an outage. It returns nil if
+// that replied, or else the outage, which is empty if there is no host or the caller left.
 func (l *Limiter) askOne(ctx context.Context, host string, q TokenRequest) (TokenReply, *outage) {
 	if host == "" {
 		return TokenReply{}, &outage{}
--- a/report/report.go
+++ b/report/report.go
@@ -108,7 +108,8 @@
 	return t.reports(now, maxRelayed, func(entry) bool { return true })
 }
 
-// reports returns up to limit selected reports with their current ages, and removes expired ones.
+// reports returns up to limit of the selected reports, at random, with their current ages, and
+// removes expired ones.
 func (t *Table) reports(now time.Time, limit int, selected func(entry) bool) []*slatewindv1.ServerReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -107,7 +107,8 @@
 	return largest
 }
 
-// NewDirectory returns the directory of validated settings.
+// NewDirectory returns the directory of validated settings. Digests that cannot be parsed are left
+// out.
 func NewDirectory(fleet *slatewindv1.Fleet) *Directory {
 	d := &Directory{
 		required: fleet.GetKeysRequired() || len(fleet.GetWorkspaces()) > 0,
@@ -130,8 +131,8 @@
 func (d *Directory) Named(name string) *slatewindv1.Workspace { return d.byName[name] }
 
 // Identify returns the workspace of a request, given the values of the header field of the key. It
-// is nil if none is needed: the settings have no workspaces, or the route is public and the request
-// has no known key.
+// is nil if none is needed: the settings neither have workspaces nor require keys, or the route is
+// public and the request has no known key. The error is the reason to refuse the request.
 func (d *Directory) Identify(values []string, public bool) (*slatewindv1.Workspace, error) {
 	if !d.required {
 		return nil, nil
@@ -143,6 +144,7 @@
 	return w, err
 }
 
+// find returns the workspace that has the only key among values, or the reason why there is none.
 func (d *Directory) find(values []string) (*slatewindv1.Workspace, error) {
 	if len(values) == 0 {
 		return nil, ErrNoKey
