--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -15,7 +15,9 @@
 // newSuspects returns the quarantine table of a Process. New records are sent at once to the VMs
 // that have servers of the same services.
 func (p *Process) newSuspects() *quarantine.Table {
-	publish := func(records []quarantine.Record) { p.gossip.SendSuspects(p.vmsOfSameServices(), link.SuspectsOf(records)) }
+	publish := func(records []quarantine.Record) {
+		p.gossip.SendSuspects(p.vmsOfSameServices(), link.SuspectsOf(records))
+	}
 	recordQuarantine := func(digest quarantine.Digest, verdict quarantine.Verdict) {
 		p.journal.Add(verdict.Decision(time.Now(), digest))
 	}
